--- a/loadbalancer/freeze/__init__.py
+++ b/loadbalancer/freeze/__init__.py
@@ -1,1 +1,1 @@
-"""One elected coordinator that says which changes may happen during an incident."""
+"""Change freeze: an elected coordinator that decides which changes may happen during an incident."""
--- a/loadbalancer/freeze/actions.py
+++ b/loadbalancer/freeze/actions.py
@@ -1,4 +1,4 @@
-"""What the pure machines ask of their host: records to store, messages to send, events to log."""
+"""Actions that the state machines request from their host: save a record, send a message, log an event."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Save:
-    """Store `data` as the elector's record, then call `stored(number)`; it supersedes earlier saves."""
+    """Store `data` as the elector's record, then call `stored(number)`; supersedes all earlier saves."""
 
     number: int
     data: bytes
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to a node, once the save `after_save` is stored (0: at once)."""
+    """Send a message to the node `to` once the save `after_save` is stored; 0 means at once."""
 
     to: str
     message: FreezeMessage
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FreezeEvent:
-    """Something for the log: its name, the elector's term, the reason and further fields."""
+    """An event for the log: its name, the elector's term, the reason and further fields."""
 
     name: str
     term: int
--- a/loadbalancer/freeze/elector_record.py
+++ b/loadbalancer/freeze/elector_record.py
@@ -1,4 +1,4 @@
-"""The record of an elector in its node's store."""
+"""The record that an elector keeps in its node's store, and its encoding."""
 
 from __future__ import annotations
 
@@ -7,12 +7,22 @@
 from loadbalancer.freeze.errors import FreezeRecordError
 from loadbalancer.freeze.messages import StateVersion
 
-RECORD_NAME = "freeze-elector"
-RECORD_FORMAT = 1
+RECORD_NAME = "freeze-elector"  # key in the store
+RECORD_FORMAT = 1  # version of the encoding
 
 
 class ElectorRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What must outlast a restart; an array in the store, so the order of the fields is the format."""
+    """The part of an elector's state that must survive a restart.
+
+    It is stored as an array, so the order of the fields is part of the format.
+
+    Attributes:
+        format: `RECORD_FORMAT` of the program that wrote it.
+        voted_for: The candidate that got this elector's vote in `term`; empty if none did.
+        version: Version of the replicated state in `state`.
+        minimum_version: See `VoteGuard.minimum_version`.
+        state: A snapshot of the replicated state.
+    """
 
     format: int
     term: int
@@ -31,7 +41,7 @@
     """Reads a stored record.
 
     Raises:
-        FreezeRecordError: It is no such record, or of another format.
+        FreezeRecordError: `data` is not an elector's record, or has another format.
     """
     try:
         record = msgspec.msgpack.decode(data, type=ElectorRecord)
@@ -41,6 +51,7 @@
         ) from None
     if record.format != RECORD_FORMAT:
         raise FreezeRecordError(
-            f"format {record.format}; this program has {RECORD_FORMAT}", RECORD_NAME
+            f"record format {record.format} is not supported; this program reads format {RECORD_FORMAT}",
+            RECORD_NAME,
         )
     return record
--- a/loadbalancer/freeze/rules.py
+++ b/loadbalancer/freeze/rules.py
@@ -1,4 +1,7 @@
-"""Rules of the change freeze: who elects, leases, timeouts and limits; the same in all nodes."""
+"""Rules of the change freeze: electors, leases, timeouts and limits.
+
+All nodes must have the same rules. Durations are in microseconds.
+"""
 
 from __future__ import annotations
 
@@ -7,21 +10,21 @@
 
 from loadbalancer.freeze.changes import Change
 
-ELECTOR_COUNTS = (3, 5, 7)
-MAX_DRIFT_RATIO = 0.5
+ELECTOR_COUNTS = (3, 5, 7)  # allowed numbers of electors
+MAX_DRIFT_RATIO = 0.5  # exclusive
 
 
 @dataclass(frozen=True)
 class ElectionRules:
-    """Who elects, and the leader's lease.
+    """The electors, and the leader's lease.
 
     Attributes:
-        electors: Names of the nodes that elect.
-        lease_us: Lease that an elector grants the leader, in microseconds.
-        drift_ratio: How much at most a second of a node's clock differs from a true one.
+        electors: Names of the nodes that elect the coordinator.
+        lease_us: Duration of the lease that an elector grants to the leader, in microseconds.
+        drift_ratio: Largest relative error of the rate of a node's clock, as a fraction of true time.
 
     Raises:
-        ValueError: Wrong count of electors, or a value out of range.
+        ValueError: The number of electors is not in `ELECTOR_COUNTS`, or a value is out of range.
     """
 
     electors: tuple[str, ...]
@@ -31,40 +34,40 @@
     def __post_init__(self) -> None:
         distinct = len(set(self.electors)) == len(self.electors)
         if len(self.electors) not in ELECTOR_COUNTS or not distinct:
-            raise ValueError("freeze: 3, 5 or 7 electors, each once")
+            raise ValueError("freeze: electors must be 3, 5 or 7 different nodes")
         if not 0 <= self.drift_ratio < MAX_DRIFT_RATIO or self.lease_us <= 0:
             raise ValueError(
-                "freeze: lease must be positive, and drift at least 0 and below 0.5"
+                "freeze: lease must be positive, and drift ratio at least 0 and below 0.5"
             )
 
     @property
     def majority(self) -> int:
-        """How many electors are a majority."""
+        """Number of electors that form a majority."""
         return len(self.electors) // 2 + 1
 
     @property
     def leader_lease_us(self) -> int:
-        """What a leader may count on, by its own clock, of the lease that electors granted."""
+        """Duration of a granted lease that the leader can rely on, measured by its own clock."""
         return int(self.lease_us * (1 - self.drift_ratio) / (1 + self.drift_ratio))
 
     @property
     def heartbeat_interval_us(self) -> int:
-        """Time between two heartbeats to an elector."""
+        """Time between two heartbeats to the same elector."""
         return max(1, self.lease_us // 8)
 
     @property
     def answer_timeout_us(self) -> int:
-        """A leader that a majority has not answered for so long requests no more leases."""
+        """Time without answers of a majority after which a leader requests no more leases."""
         return self.leader_lease_us * 3 // 8
 
     @property
     def resend_interval_us(self) -> int:
-        """A heartbeat with commands, or a vote request, is sent again without an answer after this."""
+        """Time after which an unanswered heartbeat with commands, or vote request, is sent again."""
         return max(1, self.lease_us // 20)
 
     @property
     def candidacy_jitter_us(self) -> int:
-        """Candidacies begin up to this far apart, and last at least this long."""
+        """Largest random delay before a candidacy, and the least duration of one."""
         return max(1, self.lease_us // 4)
 
 
@@ -73,15 +76,16 @@
     """Timeouts and limits of the coordinator, in microseconds.
 
     Attributes:
-        begin_within_us: A change must begin this soon after its request was sent; at most a lease.
+        begin_within_us: Time after the sending of a request within which its change must start; at most a
+            lease.
         max_duration_us: Longest duration of a change.
-        notify_interval_us: How often members are notified of the open incidents.
-        revocation_interval_us: How often a revocation is repeated until acknowledged.
-        retry_after_us: After which a deferred request is repeated.
-        busy_retry_after_us: The same, where only too many requests came at once.
-        queue_timeout_us: A queued request that is not repeated for so long loses its place.
-        max_pending_grants: Grants that a majority does not hold yet.
-        max_queued_requests: Requests whose order of arrival is kept.
+        notify_interval_us: Interval at which members are notified of the open incidents.
+        revocation_interval_us: Interval at which a revocation is repeated until it is acknowledged.
+        retry_after_us: Delay after which a node repeats a deferred request.
+        busy_retry_after_us: The same for requests that were deferred because too many were made at once.
+        queue_timeout_us: Time after which a queued request that is not repeated loses its place.
+        max_pending_grants: Limit of grants that are not committed yet.
+        max_queued_requests: Limit of the queue, which keeps waiting requests in order of arrival.
     """
 
     begin_within_us: int = 1_000_000
@@ -97,21 +101,21 @@
 
 @dataclass(frozen=True)
 class NoCoordinatorRule:
-    """What happens to a kind of change while no coordinator answers.
+    """How requests for one kind of change are answered while no coordinator answers.
 
     Attributes:
-        answer_after_us: The request is answered this long after it was made.
-        proceed_after_silence_us: The change proceeds without a grant once no coordinator has been heard
-            for so long; None: never.
+        answer_after_us: Delay after which the node answers the request itself.
+        proceed_after_silence_us: Time since the last message of any coordinator after which the change
+            proceeds without a grant; None if it never does.
     """
 
     answer_after_us: int
     proceed_after_silence_us: int | None
 
 
-# Reloads are deliberate acts of a person on this machine, and may be what repairs the electors themselves;
-# bringing a node up moves in the safe direction. What moves traffic waits longer; what takes nodes or servers
-# away waits for a coordinator, or for an operator's emergency.
+# Reloads are deliberate actions of a person on this machine, and may be needed to repair the electors
+# themselves; bringing up a node moves in the safe direction. Changes that move traffic wait longer. Changes
+# that remove nodes or servers wait for a coordinator, or for an operator to declare an emergency.
 DEFAULT_NO_COORDINATOR_RULES = {
     Change.SETTINGS.value: NoCoordinatorRule(8_000_000, 8_000_000),
     Change.OPERATION.value: NoCoordinatorRule(8_000_000, 8_000_000),
@@ -129,15 +133,16 @@
 
 @dataclass(frozen=True)
 class ClientRules:
-    """How a node asks for changes.
+    """How a node requests changes.
 
     Attributes:
         electors: Names of the electors, one of which is the coordinator.
         coordinator: The coordinator's rules.
         drift_ratio: As in `ElectionRules`.
-        retry_interval_us: First wait for an answer; it doubles with each retry.
-        incident_lifetime_us: An incident holds so long after the last message of any coordinator.
-        no_coordinator: By kind of change, the rule while no coordinator answers.
+        retry_interval_us: Time to wait for the first answer; it doubles with each retry.
+        incident_lifetime_us: Time since the last message of any coordinator for which a known incident stays
+            in effect.
+        no_coordinator: By kind of change, the rule that applies while no coordinator answers.
     """
 
     electors: tuple[str, ...]
@@ -150,13 +155,20 @@
     )
 
     def local_duration_us(self, duration_us: int) -> int:
-        """A duration that the coordinator measures too, short enough by this node's clock."""
+        """Returns a duration for this node's clock that ends before the coordinator's `duration_us` does.
+
+        It is shorter by the maximum drift between the two clocks.
+        """
         return int(duration_us * (1 - self.drift_ratio) / (1 + self.drift_ratio))
 
 
 @dataclass(frozen=True)
 class FreezeRules:
-    """All rules, and the region of each zone."""
+    """All rules of the change freeze.
+
+    Attributes:
+        regions: Region of each zone, by zone name.
+    """
 
     election: ElectionRules
     client: ClientRules
--- a/loadbalancer/freeze/state.py
+++ b/loadbalancer/freeze/state.py
@@ -1,10 +1,10 @@
-"""The replicated state: open incidents, grants in force and ids of what has ended.
+"""The replicated state of the change freeze: open incidents, current grants, and ids of ended grants.
 
-Commands applied in one order give the same state everywhere. It holds durations but no times, since the
-clocks of two machines do not compare: a new coordinator counts each grant it inherits as issued at its own
-election, so none expires too early.
+The same commands in the same order give the same state at every elector. The state holds durations but no
+times, because the monotonic clocks of two machines cannot be compared: a new coordinator treats each grant
+that it inherits as issued at its own election, so that none expires too early.
 
-Incidents, grants and commands are stored and sent as arrays: their order of fields is the format.
+Incidents, grants and commands are stored and sent as arrays, so the order of their fields is the format.
 """
 
 from __future__ import annotations
@@ -19,35 +19,50 @@
     StateVersion,
 )
 
-MAX_INCIDENTS = 32  # open at a time
-MAX_GRANTS = 512  # in force at a time
-MAX_ENDED_IDS = 512  # remembered, so that a repeated request is recognized
-MAX_IDS_PER_COMMAND = 8
-NOTICE_REASON_LENGTH = 80
+MAX_INCIDENTS = 32  # open at the same time
+MAX_GRANTS = 512  # current at the same time
+MAX_ENDED_IDS = 512  # ids of ended grants that are kept, to recognize repeated requests
+MAX_IDS_PER_COMMAND = 8  # grant ids in one command
+MAX_NOTICE_REASON_CHARS = 80  # longest reason in an `IncidentNotice`
 
 
 class Incident(msgspec.Struct, array_like=True, frozen=True):
-    """One open incident. `in_force`: no change that it stops can begin any more."""
+    """One open incident.
+
+    Attributes:
+        opened_by: Name of an operator, or "evidence".
+        opened_version: Version of the command that opened it.
+        in_force: Whether no change that the incident stops can start any more.
+    """
 
     id: str
     scope: Scope
     severity: int
     reason: str
-    opened_by: str  # an operator, or "evidence"
+    opened_by: str
     opened_version: StateVersion
     in_force: bool = False
 
     def notice(self) -> IncidentNotice:
-        """The incident as members are notified of it."""
-        reason = self.reason[:NOTICE_REASON_LENGTH]
+        """Returns the incident in the form in which members are notified of it."""
+        reason = self.reason[:MAX_NOTICE_REASON_CHARS]
         return IncidentNotice(self.id, self.scope, self.severity, reason)
 
 
 class Grant(msgspec.Struct, array_like=True, frozen=True):
-    """One change that may happen.
-
-    `duration_us` counts from `request_sent_at` by the node's clock, for the coordinator from the issue of
-    the grant. A nonempty `revocation_reason`: the change has been told to stop.
+    """Permission for one change at one node.
+
+    Attributes:
+        id: Id of the request.
+        node: Name of the node that makes the change.
+        duration_us: Longest duration of the change. The node counts it from `request_sent_at`, the
+            coordinator from the issue of the grant.
+        request_sent_at: When the request was sent, in microseconds of the node's clock.
+        emergency_reason: If not empty, the change is an emergency, which incidents do not stop.
+        resolves_incident: Id of the incident that the change is meant to resolve; empty if none.
+        plan: Changes of the same plan do not conflict with each other; empty if none.
+        token: Fencing token: the version of the command that issued the grant.
+        revocation_reason: If not empty, the grant is revoked and the change must stop.
     """
 
     id: str
@@ -70,7 +85,7 @@
 
 
 class MarkInForce(msgspec.Struct, tag=2, array_like=True, frozen=True):
-    """No change that the incident stops can begin any more."""
+    """Marks an incident as in force: no change that it stops can start any more."""
 
     id: str
 
@@ -88,7 +103,7 @@
 
 
 class EndGrants(msgspec.Struct, tag=5, array_like=True, frozen=True):
-    """Ends grants that were given back or have expired."""
+    """Ends grants that were returned by their nodes or have expired."""
 
     ids: list[str]
 
@@ -117,20 +132,26 @@
 
 
 def encode_command(command: StateCommand) -> bytes:
-    """Returns the bytes of a command."""
+    """Encodes a command for replication."""
     return _encode(command)
 
 
 class FreezeState:
-    """The replicated state (see `elector.ReplicatedState`)."""
+    """The replicated state of the change freeze; implements `replicated_log.ReplicatedState`.
+
+    Attributes:
+        incidents: Open incidents, by id.
+        grants: Current grants, by request id; revoked ones stay until they end.
+        ended: Ids of ended grants, in the order in which they ended.
+    """
 
     def __init__(self) -> None:
         self.incidents: dict[str, Incident] = {}
         self.grants: dict[str, Grant] = {}
-        self.ended: dict[str, None] = {}  # ids in the order in which they ended
+        self.ended: dict[str, None] = {}
 
     def apply(self, version: StateVersion, data: bytes) -> None:
-        """Applies a command that leads to `version`. One of a newer program, unknown here, is skipped."""
+        """Applies a command that produces `version`; skips one that only newer programs know."""
         try:
             command = _command_decoder.decode(data)
         except msgspec.DecodeError:
@@ -175,7 +196,7 @@
             del self.ended[next(iter(self.ended))]
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the encoded complete state."""
         return _encode(
             _Snapshot(
                 [*self.incidents.values()], [*self.grants.values()], [*self.ended]
@@ -186,14 +207,14 @@
         """Replaces the state by one that `snapshot` returned.
 
         Raises:
-            FreezeRecordError: `data` is no such state.
+            FreezeRecordError: `data` is not a snapshot of this state.
         """
         try:
-            found = _snapshot_decoder.decode(data)
+            snapshot = _snapshot_decoder.decode(data)
         except msgspec.DecodeError as error:
             raise FreezeRecordError(
-                f"not a state of the change freeze: {error}"
+                f"not a snapshot of the change freeze: {error}"
             ) from None
-        self.incidents = {incident.id: incident for incident in found.incidents}
-        self.grants = {grant.id: grant for grant in found.grants}
-        self.ended = dict.fromkeys(found.ended)
+        self.incidents = {incident.id: incident for incident in snapshot.incidents}
+        self.grants = {grant.id: grant for grant in snapshot.grants}
+        self.ended = dict.fromkeys(snapshot.ended)
