--- a/loadbalancer/freeze/candidacy.py
+++ b/loadbalancer/freeze/candidacy.py
@@ -1,4 +1,4 @@
-"""When an elector starts a candidacy, and the votes of the present one."""
+"""Timing of an elector's candidacies, and the votes of the current one."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Candidacy:
-    """The candidacies of one elector, pre-candidacies too. Times are monotonic microseconds.
+    """The candidacies and pre-candidacies of one elector. Times are monotonic microseconds.
 
     Attributes:
-        next_at: When the next one may start, or the present one ends.
-        started_at: When the present one started; it identifies the responses to it.
+        next_at: When the next candidacy may start; while one is running, when it ends.
+        started_at: When the current candidacy started; responses repeat this time, which identifies them.
         retry_at: When votes are requested again.
-        votes: Electors that have granted their vote.
+        votes: Names of the electors that have granted their vote, including the candidate.
     """
 
     def __init__(
@@ -31,35 +31,42 @@
         return self.random.below(self.rules.candidacy_jitter_us)
 
     def postpone_until(self, earliest: int) -> None:
-        """The next candidacy starts some jitter after `earliest`."""
+        """Schedules the next candidacy at `earliest` plus a random jitter."""
         self.next_at = earliest + self._jitter_us()
 
     def postpone(self, now: int) -> None:
-        """The next candidacy starts after the time of one, and some jitter."""
+        """Schedules the next candidacy after the duration of one candidacy, plus a random jitter."""
         self.postpone_until(now + self.rules.candidacy_jitter_us)
 
-    def begin(self, now: int) -> None:
-        """Starts, with the candidate's own vote."""
+    def start(self, now: int) -> None:
+        """Starts a candidacy with the candidate's own vote."""
         self.started_at, self.votes = now, frozenset((self.name,))
 
-    def end(self) -> None:
-        """Drops the votes."""
+    def discard_votes(self) -> None:
+        """Discards the votes of a candidacy that has ended."""
         self.votes = frozenset()
 
     def add_vote(self, voter: str) -> bool:
-        """Counts a vote; returns whether a majority has granted theirs."""
+        """Counts a vote; returns whether a majority has granted its votes."""
         self.votes |= {voter}
         return len(self.votes) >= self.rules.majority
 
-    def is_answered_by(self, now: int, response: VoteResponse) -> bool:
-        """Whether a response is to this candidacy, and too young for the voter to have lost its store."""
+    def accepts(self, now: int, response: VoteResponse) -> bool:
+        """Whether a response belongs to this candidacy and is recent enough to count.
+
+        A voter that lost its store, and with it the record of its vote, casts no other vote for one lease. So
+        a response counts only within one lease of the request.
+        """
         return (
             response.sent_at == self.started_at
             and now < self.started_at + self.rules.leader_lease_us
         )
 
     def requests(self, now: int, request: VoteRequest, after_save: int) -> list[Send]:
-        """Asks those that have not granted their vote: it was lost, or their leases end a little later."""
+        """Returns vote requests for the electors that have not granted their vote yet.
+
+        A request or response may have been lost, or an elector's lease may end a little later.
+        """
         self.retry_at = now + self.rules.resend_interval_us
         return [
             Send(elector, request, after_save)
--- a/loadbalancer/freeze/coordinator.py
+++ b/loadbalancer/freeze/coordinator.py
@@ -1,13 +1,13 @@
-"""The coordinator beside the elected leader: answers requests for changes, and opens and closes incidents.
+"""The coordinator on the elected leader: answers requests for changes, and opens and closes incidents.
 
-Nothing is told to a node before a majority of electors holds it.
+No decision is sent to a node before a majority of electors has stored it.
 
-What it knows beside the replicated state is volatile (`leader_term`): a new coordinator starts with the state
-alone. No grant that it inherits can still be begun: its issuer held a lease after the request was sent, and
-`begin_within_us` is at most a lease. So a new coordinator may grant at once, and no grant of the one before
-begins beside its own.
+What the coordinator knows beside the replicated state is volatile (`leader_term`): a new coordinator starts
+from the replicated state only. No change whose grant it inherits can still start: the previous coordinator
+held a lease after the request was sent, and `begin_within_us` is at most a lease. So a new coordinator may
+issue grants at once, and no change granted by its predecessor can start alongside its own.
 
-Pure: messages and monotonic microseconds in, messages to send out.
+The coordinator does no I/O: it takes messages and monotonic microseconds, and returns messages to send.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from loadbalancer.freeze.evidence import Verdict
 from loadbalancer.freeze.grants import Grants
 from loadbalancer.freeze.incidents import Incidents
-from loadbalancer.freeze.leader_term import LeaderTerm, take_committed
+from loadbalancer.freeze.leader_term import LeaderTerm, pop_committed
 from loadbalancer.freeze.messages import (
     ChangeFinished,
     ChangeRequest,
@@ -33,11 +33,11 @@
 
 
 class Coordinator:
-    """One node's coordinator, beside its elector; idle while that does not lead.
+    """One node's coordinator, paired with its elector; idle while the elector does not lead.
 
     Attributes:
-        members: All nodes to notify of incidents, this one too.
-        term: What it knows in its present term; None while it does not coordinate.
+        members: Names of all nodes to notify of incidents, including this one.
+        term: Its volatile state in the current term; None while it does not coordinate.
     """
 
     def __init__(
@@ -57,10 +57,10 @@
 
     @property
     def counters(self) -> RequestCounters:
-        """Answers to requests."""
+        """Counters of the answers to requests."""
         return self.context.counters
 
-    def drain(self) -> list[FreezeEvent]:
+    def pop_events(self) -> list[FreezeEvent]:
         """Returns the events since the last call."""
         events, self.context.events = self.context.events, []
         return events
@@ -68,18 +68,18 @@
     # ---- time -----------------------------------------------------------------------------------------
 
     def current_term(self, now: int) -> LeaderTerm | None:
-        """The present term, if this node coordinates at this moment."""
+        """Returns the state of the current term if this node coordinates at time `now`, else None."""
         if not self.elector.is_leading(now):
             self.term = None
             return None
         if self.term is None or self.term.term != self.elector.term:
-            self.term = self._begin_term(now)
+            self.term = self._start_term(now)
         return self.term
 
-    def _begin_term(self, now: int) -> LeaderTerm:
+    def _start_term(self, now: int) -> LeaderTerm:
         term = LeaderTerm(
             self.elector.term,
-            # Inherited grants count as issued as late as they can have been.
+            # Inherited grants count as issued now, the latest time that is possible.
             granted_at=dict.fromkeys(self.state.grants, now),
             incidents_version=self.elector.leadership.term_start_version,
         )
@@ -90,12 +90,12 @@
         return term
 
     def tick(self, now: int) -> list[Send]:
-        """Does what is due: expiry, revocations, incidents that come into force, notifications."""
+        """Executes what is due: expiry, revocations, incidents that come into force, notifications."""
         term = self.current_term(now)
         if term is None:
             return []
         self.grants.expire(term, now)
-        self.incidents.revoke_stopped(term)
+        self.incidents.revoke_stopped_grants(term)
         self.incidents.mark_in_force(term, now)
         self._drop_abandoned_requests(term, now)
         return [
@@ -105,22 +105,22 @@
         ]
 
     def next_deadline(self) -> int | None:
-        """When `tick` should next be called; None where this node does not coordinate."""
+        """Returns when `tick` should next be called; None if this node does not coordinate."""
         term, now = self.term, self.elector.now
         if term is None:
             return None
-        # Notifications that wait for a majority are looked at when its answers come.
-        waits = term.incidents_version > self.elector.committed_version
-        soon = now + self.rules.notify_interval_us
-        times = [soon if waits else term.next_notification_at]
-        times += [
+        # A notification that waits for a commit is sent by the tick that follows the electors' answers.
+        awaits_commit = term.incidents_version > self.elector.committed_version
+        next_check_at = now + self.rules.notify_interval_us
+        deadlines = [next_check_at if awaits_commit else term.next_notification_at]
+        deadlines += [
             term.granted_at[grant_id] + grant.duration_us
             for grant_id, grant in self.state.grants.items()
             if grant_id in term.granted_at
         ]
-        times += self.revocations.next_deadlines(term)
-        times += self.incidents.next_deadlines(term, now)
-        return max(now, min(times))
+        deadlines += self.revocations.next_deadlines(term)
+        deadlines += self.incidents.next_deadlines(term, now)
+        return max(now, min(deadlines))
 
     def _drop_abandoned_requests(self, term: LeaderTerm, now: int) -> None:
         timeout_us = self.rules.queue_timeout_us
@@ -133,18 +133,18 @@
             del term.queue[request_id]
 
     def _announce_committed(self, term: LeaderTerm) -> list[Send]:
-        """Tells those concerned what a majority has come to hold."""
+        """Returns the messages and logs the events that newly committed commands lead to."""
         committed = self.elector.committed_version
-        granted = take_committed(term.pending_grants, committed)
-        sends = self.grants.announce_committed(term, granted)
-        sends += self.incidents.replies_committed(term)
-        for grant_id in take_committed(term.ending_grants, committed):
+        committed_grants = pop_committed(term.pending_grants, committed)
+        sends = self.grants.announce_committed(term, committed_grants)
+        sends += self.incidents.committed_replies(term)
+        for grant_id in pop_committed(term.pending_grant_ends, committed):
             term.forget_grant(grant_id)
-        for incident_id in take_committed(term.entering_force, committed):
+        for incident_id in pop_committed(term.pending_in_force, committed):
             self.context.log_event("incident enforced", id=incident_id)
-        for incident_id in take_committed(term.opening, committed):
+        for incident_id in pop_committed(term.pending_openings, committed):
             self.context.log_event(
-                "incident committed", "a majority holds it", id=incident_id
+                "incident committed", "a majority has stored it", id=incident_id
             )
         return sends
 
@@ -162,7 +162,7 @@
     def on_change_finished(
         self, now: int, sender: str, finished: ChangeFinished
     ) -> list[Send]:
-        """A node gives a grant back."""
+        """Handles a node's return of its grant."""
         term = self.current_term(now)
         if term is None:
             return []
@@ -171,7 +171,7 @@
     def on_revocation_ack(
         self, now: int, sender: str, ack: RevocationAck
     ) -> list[Send]:
-        """A node has stopped a change whose grant was revoked."""
+        """Handles a node's report that it has stopped a change whose grant was revoked."""
         term = self.current_term(now)
         if term is not None:
             self.revocations.on_ack(term, sender, ack)
@@ -180,14 +180,14 @@
     def on_operator_command(
         self, now: int, sender: str, command: OperatorCommand
     ) -> list[Send]:
-        """An operator opens or closes an incident."""
+        """Handles an operator's command to open or close an incident."""
         term = self.current_term(now)
         if term is None:
             return [self.context.redirect(sender)]
         return self.incidents.on_command(term, sender, command)
 
     def on_verdict(self, now: int, verdict: Verdict, severity: int) -> None:
-        """Opens or closes an incident by evidence; sent at the next `tick`."""
+        """Opens or closes an incident by evidence; members are notified by a later `tick`."""
         term = self.current_term(now)
         if term is not None:
             self.incidents.apply_verdict(term, verdict, severity)
--- a/loadbalancer/freeze/coordinator_context.py
+++ b/loadbalancer/freeze/coordinator_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the coordinator share: elector, replicated state, rules, counters and events."""
+"""What the coordinator's components share: elector, replicated state, rules, counters and events."""
 
 from __future__ import annotations
 
@@ -16,7 +16,15 @@
 
 @dataclass
 class RequestCounters:
-    """Answers to requests since the start; the names are published figures."""
+    """Counters of answers to requests since the process started; published under the attribute names.
+
+    Attributes:
+        asked: Requests received.
+        granted: Grants sent for the first time.
+        refused: Requests deferred because of an incident or a conflicting change.
+        busy: Requests deferred because too many were made at once.
+        halted: Grants whose revocation was proposed.
+    """
 
     asked: int = 0
     granted: int = 0
@@ -26,7 +34,12 @@
 
 
 class CoordinatorContext:
-    """The surroundings of one coordinator."""
+    """State and helpers that the components of one coordinator share.
+
+    Attributes:
+        regions: Region of each zone.
+        events: Events that the host has not collected yet.
+    """
 
     def __init__(
         self,
@@ -42,21 +55,21 @@
 
     @property
     def committed(self) -> StateVersion:
-        """The newest version that a majority is known to hold."""
+        """The newest version that a majority is known to have stored."""
         return self.elector.committed_version
 
     def propose(self, command: StateCommand) -> StateVersion | None:
-        """Proposes a command; None if it is too large."""
+        """Proposes a command; returns its version, or None if it is too large or this node does not lead."""
         return self.elector.propose(self.elector.now, encode_command(command))
 
-    def log_event(self, name: str, reason: str = "", **fields: Any) -> None:
-        """Adds an event for the log."""
-        self.events.append(FreezeEvent(name, self.elector.term, reason, fields))
+    def log_event(self, event_name: str, reason: str = "", **fields: Any) -> None:
+        """Queues an event for the log."""
+        self.events.append(FreezeEvent(event_name, self.elector.term, reason, fields))
 
-    def log_grant(self, name: str, grant: Grant, reason: str = "") -> None:
-        """Adds an event about a grant."""
+    def log_grant(self, event_name: str, grant: Grant, reason: str = "") -> None:
+        """Queues an event about a grant."""
         self.log_event(
-            name,
+            event_name,
             reason,
             id=grant.id,
             change=grant.kind,
@@ -66,7 +79,7 @@
         )
 
     def redirect(self, node: str) -> Send:
-        """Tells a node who leads, if that is known."""
+        """Returns a message that redirects a node to the leader, if another node is known to lead."""
         leader = self.elector.leader
-        known = "" if leader == self.elector.name else leader
-        return Send(node, RedirectToLeader(known, self.elector.term))
+        known_leader = "" if leader == self.elector.name else leader
+        return Send(node, RedirectToLeader(known_leader, self.elector.term))
--- a/loadbalancer/freeze/elector.py
+++ b/loadbalancer/freeze/elector.py
@@ -1,18 +1,20 @@
-"""The election of the change-freeze coordinator: one elector's state machine.
+"""Election of the change-freeze coordinator: the state machine of one elector.
 
-Raft (Ongaro, Ousterhout 2014) in its terms, with persistent votes, pre-vote and the rule of the newest state.
-The state is so small that a version of it stands where Raft has a log (`replicated_log`).
+The algorithm is Raft (Ongaro, Ousterhout 2014) with its terms, persistent votes, pre-vote, and the rule that
+a candidate must hold the newest state. The replicated state is small, so a version of the complete state
+takes the place of Raft's log (`replicated_log`).
 
-Lease: an elector that takes a heartbeat votes for nobody else for a lease by its own clock; `leadership` has
-the leader's side of it. The leader looks at its clock before every action, so a process that was stopped for
-longer than its lease finds the lease gone before it does anything else.
+Lease: an elector that accepts a heartbeat votes for no other candidate for the duration of a lease, measured
+by its own clock; `leadership` implements the leader's side. The leader reads its clock before every action,
+so a process that was stopped for longer than its lease detects that the lease has ended before it acts.
 
-Restart: leases are in no store, so every elector votes for nobody for a whole lease after its start. One
-whose store was lost first recovers what it has forgotten (`recovery`).
+Restart: leases are not stored, so every elector casts no vote for a complete lease after its start. An
+elector whose store was lost first recovers the lost state from the other electors (`recovery`).
 
-Pure: messages and monotonic microseconds in, actions out, to be done in order. A `Save` is answered by
-`stored`. A `Send` with `after_save` waits for that save; the others need not wait for a disk: leases are not
-stored, and what is acknowledged is what the store holds.
+The state machine does no I/O: it takes messages and monotonic microseconds, and returns actions that the host
+must execute in order. The host reports a completed `Save` by calling `stored`. A `Send` with `after_save`
+waits for that save; other messages need not wait for the disk, because leases are not stored, and an
+acknowledgement reports only what the store already holds.
 """
 
 from __future__ import annotations
@@ -51,11 +53,12 @@
 
 TermMessage = VoteRequest | VoteResponse | Heartbeat | SnapshotPart | HeartbeatAck
 
-FORGOTTEN_VOTE = "-"  # a vote in this term may have been given, and is forgotten
+# Stored in place of a candidate: the elector may have voted in this term, but lost the record of its vote.
+UNKNOWN_VOTE = "-"
 
 
 class Role(Enum):
-    """What an elector is in its term; the values are published."""
+    """Role of an elector in its term; the values are published on status pages."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "asking"
@@ -64,15 +67,15 @@
 
 
 class Elector:
-    """One elector. Every method that returns actions expects them to be done in order.
+    """State machine of one elector; the actions that a method returns must be executed in order.
 
     Attributes:
-        leader: The last leader heard of in this term; empty if none.
-        vote_guard: What keeps it from voting; without a vote it does not lead either.
-        state_lost: Its store was lost, and what was in it is not recovered yet.
+        leader: Name of the leader of this term, as far as this elector knows; empty if it knows none.
+        vote_guard: The restrictions on its votes; an elector that must not vote does not lead either.
+        state_lost: Whether its store was lost and the content is not recovered yet.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - what a node knows at its start
+    def __init__(  # noqa: PLR0913, PLR0917 - everything that an elector starts from
         self,
         name: str,
         rules: ElectionRules,
@@ -81,18 +84,18 @@
         now: int,
         record: bytes | None,
     ) -> None:
-        """Begins as a follower.
+        """Starts as a follower, from the stored record if there is one.
 
         Args:
-            name: This elector's node.
+            name: Name of this elector's node.
             rules: The rules of the election.
-            state: The replicated state, empty.
-            seed: For the jitter of candidacies.
+            state: The replicated state; must be empty.
+            seed: Seed for the jitter of candidacies.
             now: Monotonic microseconds.
-            record: What the store has under `elector_record.RECORD_NAME`; None if nothing.
+            record: The record stored under `elector_record.RECORD_NAME`; None if the store has none.
 
         Raises:
-            FreezeRecordError: `record` is no elector's record.
+            FreezeRecordError: `record` is not an elector's record.
         """
         self.name, self.rules = name, rules
         self.others = tuple(elector for elector in rules.electors if elector != name)
@@ -125,8 +128,8 @@
     # ---- called by the host ---------------------------------------------------------------------------
 
     def receive(self, now: int, sender: str, message: ElectionMessage) -> list[Action]:
-        """Takes a message of another elector, or a member's answer to a recovery request."""
-        self._advance(now)
+        """Handles a message of another elector, or any member's response to a recovery request."""
+        self._advance_clock(now)
         if isinstance(message, RecoveryResponse):
             return self._on_recovery_response(sender, message)
         if sender not in self.others:
@@ -134,7 +137,7 @@
         if isinstance(message, RecoveryRequest):
             return [self._recovery_response(sender, message)]
         if self.state_lost:
-            return []  # it has forgotten its promises, so no answer of it may count
+            return []  # its votes and leases are lost, so none of its answers may count
         return self._dispatch(sender, message)
 
     def _dispatch(self, sender: str, message: TermMessage) -> list[Action]:
@@ -147,15 +150,15 @@
         return self._on_heartbeat(sender, message)
 
     def tick(self, now: int) -> list[Action]:
-        """Does what is due."""
-        self._advance(now)
+        """Executes what is due: heartbeats, candidacies and recovery requests."""
+        self._advance_clock(now)
         if self.state_lost:
             return self._recover()
         if self.role is Role.LEADER:
             return [*self.leadership.heartbeat(self.now)]
         if self.role is not Role.FOLLOWER and self.now >= self.candidacy.next_at:
             self.role = Role.FOLLOWER
-            self.candidacy.end()
+            self.candidacy.discard_votes()
         if self.role is Role.FOLLOWER:
             if self.now >= self.candidacy_due():
                 return self._start_candidacy(Role.PRE_CANDIDATE)
@@ -165,29 +168,29 @@
         return []
 
     def stored(self, now: int, number: int) -> list[Action]:
-        """The store holds the save `number`, and so all before it."""
-        self._advance(now)
+        """Handles the host's report that the store holds save `number`, and thus all earlier ones."""
+        self._advance_clock(now)
         self.saves.confirm(number)
         if self.role is Role.LEADER:
             self.leadership.commit(self.now, self.saves.stored.version)
             return []
-        return [*self.acks.due(self.term, self.leader)]
+        return [*self.acks.due_acks(self.term, self.leader)]
 
     def propose(self, now: int, command: bytes) -> StateVersion | None:
-        """Appends a command of the leader; it is sent at `flush`.
+        """Appends a command to the leader's log; `flush` stores and sends it.
 
         Returns:
-            The version that it leads to, which is committed once `committed_version` has reached it;
-            None if this elector does not lead or the command is too large.
+            The version that the command produces, which is committed once `committed_version` has reached
+            it; None if this elector does not lead or the command exceeds `MAX_COMMAND_BYTES`.
         """
-        self._advance(now)
+        self._advance_clock(now)
         if self.role is not Role.LEADER or len(command) > MAX_COMMAND_BYTES:
             return None
         return self.log.append(self.term, command)
 
     def flush(self, now: int) -> list[Action]:
-        """Stores and sends what was proposed: many commands cost one write and one round."""
-        self._advance(now)
+        """Stores and sends all proposed commands with one write and one round of heartbeats."""
+        self._advance_clock(now)
         if (
             self.role is not Role.LEADER
             or self.log.version == self.saves.latest_version
@@ -196,7 +199,7 @@
         return [self._save(), *self.leadership.replicate(self.now)]
 
     def next_deadline(self) -> int:
-        """When `tick` should next be called."""
+        """Returns the time at which `tick` should next be called, in monotonic microseconds."""
         if self.state_lost:
             return self.recovery.next_request_at
         if self.role is Role.LEADER:
@@ -206,7 +209,7 @@
         return min(self.candidacy.next_at, self.candidacy.retry_at)
 
     def is_leading(self, now: int) -> bool:
-        """Whether this elector leads now: it has its lease, and a majority stored its first version."""
+        """Whether this elector leads now: it holds the lease and has committed the start of its term."""
         self.now = max(self.now, now)
         return (
             self.role is Role.LEADER
@@ -225,23 +228,26 @@
         return self.log.version
 
     def declare_reset(self, now: int) -> None:
-        """An operator declares the replicated state gone; a majority that lost it may start anew."""
-        self._advance(now)
+        """Records an operator's declaration that the replicated state is lost for good.
+
+        Electors that lost their stores start with an empty state once a majority has such a declaration.
+        """
+        self._advance_clock(now)
         self.recovery.reset_declared = self.recovery.reset_declared or self.state_lost
 
     def set_other_members(self, names: tuple[str, ...]) -> None:
-        """Sets the members that are no electors, which recovery asks for their terms."""
+        """Sets the members that are not electors; recovery asks them for the highest term they know."""
         self.recovery.other_members = names
 
-    def drain(self) -> list[FreezeEvent]:
+    def pop_events(self) -> list[FreezeEvent]:
         """Returns the events since the last call."""
         events, self.events = self.events, []
         return events
 
     # ---- time and the store ---------------------------------------------------------------------------
 
-    def _advance(self, now: int) -> None:
-        """Begins every action: time never goes back, and a lease that is over ends the leadership."""
+    def _advance_clock(self, now: int) -> None:
+        """Runs first in every action: keeps time from going back, and steps down once the lease is over."""
         self.now = max(self.now, now)
         if self.role is not Role.LEADER:
             return
@@ -251,19 +257,19 @@
             self._step_down("a straggler does not coordinate")
 
     def candidacy_due(self) -> int:
-        """When a follower may start a candidacy."""
+        """Returns the earliest time at which a follower may start a candidacy, in microseconds."""
         return self.vote_guard.earliest_candidacy(self.candidacy.next_at)
 
     def _step_down(self, reason: str) -> None:
         if self.role is Role.LEADER:
             self.events.append(FreezeEvent("coordinator stopped", self.term, reason))
         self.role, self.leader = Role.FOLLOWER, ""
-        self.leadership.end()
-        self.candidacy.end()
+        self.leadership.end_term()
+        self.candidacy.discard_votes()
         self.candidacy.postpone(self.now)
 
     def _save(self) -> Save:
-        number = self.saves.begin(self.term, self.log.version)
+        number = self.saves.register(self.term, self.log.version)
         record = ElectorRecord(
             RECORD_FORMAT,
             self.term,
@@ -279,7 +285,7 @@
         if term <= self.term:
             return []
         if self.role is not Role.FOLLOWER:
-            self._step_down(f"term {term} has begun")
+            self._step_down(f"term {term} has started")
         self.term, self.voted_for, self.leader = term, "", ""
         self.log.transfer = None
         return [self._save()]
@@ -290,42 +296,42 @@
         response = self.recovery.response_to(
             request,
             self.term,
-            self.vote_guard.newest(self.log.version),
+            self.vote_guard.newest_known_version(self.log.version),
             state_lost=self.state_lost,
         )
         return Send(sender, response, self.saves.latest_unconfirmed())
 
     def _recover(self) -> list[Action]:
-        """Asks the others, or starts anew if nothing that is still held can be missing."""
+        """Asks the other electors for their state, or starts empty if no surviving state can be missed."""
         recovery = self.recovery
         if self.now < recovery.next_request_at:
             return []
-        if recovery.may_start_anew():
+        if recovery.may_start_empty():
             return self._finish_recovery(
                 "state reset",
-                "all others have told what they hold, or an operator has decided",
+                "all other electors have reported their state, or operators have declared it lost",
             )
         nonce = self.random.below(NONCE_LIMIT)
-        return [*recovery.begin_round(self.now, nonce)]
+        return [*recovery.start_round(self.now, nonce)]
 
     def _on_recovery_response(
         self, sender: str, response: RecoveryResponse
     ) -> list[Action]:
-        current = (
+        is_current = (
             self.state_lost
             and response.nonce == self.recovery.nonce
             and self.now >= self.vote_guard.embargo_until
         )
-        if not current or not self.recovery.record(sender, response):
+        if not is_current or not self.recovery.record_response(sender, response):
             return []
         return self._finish_recovery(
-            "state recovered", "a majority of others has told what it knows"
+            "state recovered", "a majority of other electors has reported its state"
         )
 
     def _finish_recovery(self, event: str, reason: str) -> list[Action]:
-        """Takes part again, in later terms than any in which it may have voted."""
+        """Resumes voting, but only in terms after every term in which it may have voted."""
         self.state_lost = False
-        self.term, self.voted_for = self.recovery.highest_term(), FORGOTTEN_VOTE
+        self.term, self.voted_for = self.recovery.highest_term(), UNKNOWN_VOTE
         self.vote_guard.minimum_version = self.recovery.newest_version()
         self.candidacy.postpone_until(self.now)
         self.events.append(FreezeEvent(event, self.term, reason))
@@ -334,14 +340,14 @@
     # ---- votes ----------------------------------------------------------------------------------------
 
     def _start_candidacy(self, role: Role) -> list[Action]:
-        """Begins as a candidate, or as a pre-candidate that only asks whether it would be elected."""
+        """Starts as a candidate, or as a pre-candidate that only asks whether it would be elected."""
         self.candidacy.postpone(self.now)
         if (
             self.vote_guard.disabled
             or self.log.version < self.vote_guard.minimum_version
         ):
             return []
-        self.candidacy.begin(self.now)
+        self.candidacy.start(self.now)
         self.role = role
         if role is Role.PRE_CANDIDATE:
             return self._request_votes()
@@ -362,13 +368,15 @@
         return [*self.candidacy.requests(self.now, request, after_save)]
 
     def _on_vote_request(self, sender: str, request: VoteRequest) -> list[Action]:
-        is_free = self.role is not Role.LEADER and self.vote_guard.may_vote_for(
+        may_vote = self.role is not Role.LEADER and self.vote_guard.may_vote_for(
             self.now, sender, self.leader
         )
-        if not is_free:
-            # The higher term is ignored too: a node that hears nothing would depose every leader with it.
-            refusal = VoteResponse(self.term, request.sent_at, False, request.pre_vote)
-            return [Send(sender, refusal)]
+        if not may_vote:
+            # The higher term is ignored too: with it, a node that receives nothing would depose every leader.
+            rejection = VoteResponse(
+                self.term, request.sent_at, False, request.pre_vote
+            )
+            return [Send(sender, rejection)]
         if request.pre_vote:
             return [self._answer_pre_vote(sender, request)]
         actions = self._adopt_term(request.term)
@@ -390,32 +398,35 @@
         return Send(sender, VoteResponse(term, request.sent_at, granted, True))
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
-        return request.last_version >= self.vote_guard.newest(self.log.version)
+        return request.last_version >= self.vote_guard.newest_known_version(
+            self.log.version
+        )
 
     def _on_vote_response(self, sender: str, response: VoteResponse) -> list[Action]:
         if not response.granted:
-            # A term that somebody else has taken is not requested again; the voter keeps its lease.
+            # Adopting the voter's term avoids requesting one that another elector has already used; the voter
+            # keeps its lease.
             if self.role is Role.LEADER:
                 return []
             return self._adopt_term(response.term)
-        if not self._is_awaited(response) or not self.candidacy.add_vote(sender):
+        if not self._is_expected(response) or not self.candidacy.add_vote(sender):
             return []
         if response.pre_vote:
             return self._start_candidacy(Role.CANDIDATE)
         return self._become_leader()
 
-    def _is_awaited(self, response: VoteResponse) -> bool:
+    def _is_expected(self, response: VoteResponse) -> bool:
         role = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
         term = self.term + 1 if response.pre_vote else self.term
         return (self.role, term) == (
             role,
             response.term,
-        ) and self.candidacy.is_answered_by(self.now, response)
+        ) and self.candidacy.accepts(self.now, response)
 
     def _become_leader(self) -> list[Action]:
         self.role, self.leader = Role.LEADER, self.name
         self.events.append(FreezeEvent("leader elected", self.term))
-        self.leadership.begin(self.now, self.term, self.others)
+        self.leadership.start_term(self.now, self.term, self.others)
         return [self._save(), *self.leadership.heartbeat(self.now)]
 
     # ---- heartbeats -----------------------------------------------------------------------------------
@@ -437,10 +448,10 @@
         self, sender: str, heartbeat: Heartbeat | SnapshotPart
     ) -> list[Action]:
         if heartbeat.term < self.term:
-            return [Send(sender, self.acks.refusal(self.term, heartbeat.sent_at))]
+            return [Send(sender, self.acks.rejection(self.term, heartbeat.sent_at))]
         actions = self._adopt_term(heartbeat.term)
         if self.role is not Role.FOLLOWER:
-            self._step_down("another has been elected")
+            self._step_down("another elector has been elected")
         self.leader = sender
         if heartbeat.lease_requested:
             lease_until = self.now + self.rules.lease_us
@@ -455,5 +466,5 @@
         if changed:
             actions = [self._save()]  # supersedes the save of the term
         if changed or isinstance(heartbeat, Heartbeat):
-            actions += self.acks.expect(self.term, sender, heartbeat)
+            actions += self.acks.acknowledge(self.term, sender, heartbeat)
         return actions
--- a/loadbalancer/freeze/grants.py
+++ b/loadbalancer/freeze/grants.py
@@ -1,7 +1,7 @@
 """Requests for changes, and the grants that answer them.
 
-Every request is answered at once: with the grant as soon as a majority holds it, or with why it has to wait
-and when to ask again. Requests carry ids, so asking twice is asking once.
+Every request is answered at once: with the grant as soon as a majority of electors has stored it, or with the
+reason why it has to wait and the time after which to retry. Requests carry ids, so retries are idempotent.
 """
 
 from __future__ import annotations
@@ -35,12 +35,14 @@
 )
 
 KNOWN_KINDS = frozenset(kind.value for kind in Change)
-MAX_REASON_LENGTH = 160
-INCIDENT_REASON_LENGTH = 60  # of an incident's reason, within another text
+MAX_REASON_CHARS = 160  # longest reason in a message; the limit of `messages.Text`
+MAX_INCIDENT_REASON_CHARS = (
+    60  # longest quotation of an incident's reason in another text
+)
 
 
 class Grants:
-    """The coordinator's grants."""
+    """Decides on requests for changes, and issues, announces and ends the coordinator's grants."""
 
     def __init__(self, context: CoordinatorContext, revocations: Revocations) -> None:
         self.context, self.revocations = context, revocations
@@ -50,49 +52,53 @@
     def on_request(
         self, term: LeaderTerm, now: int, sender: str, request: ChangeRequest
     ) -> list[Send]:
-        """Answers a request, or proposes its grant, which is sent once it is committed."""
+        """Rejects or defers a request, or proposes its grant, which is sent once it is committed."""
         self.context.counters.asked += 1
         existing = self.context.state.grants.get(request.id)
         if existing is not None:
             return self._answer_existing(term, sender, request, existing)
-        rejection = self._rejection(request)
-        if rejection:
-            return [self._reject(sender, request, rejection)]
+        rejection_reason = self._rejection_reason(request)
+        if rejection_reason:
+            return [self._reject(sender, request, rejection_reason)]
         if self._is_busy(term):
             self.context.counters.busy += 1
-            reason = "too many changes are asked for at once"
+            reason = "too many changes are requested at once"
             retry_after_us = self.context.rules.busy_retry_after_us
             return [self._defer(sender, request, reason, retry_after_us)]
         self._end_superseded(term, sender, request.id)
-        grant = _grant_of(sender, request)
-        conflict = self._conflict(term, grant)
-        if conflict:
+        grant = _grant_from_request(sender, request)
+        conflict_reason = self._conflict_reason(term, grant)
+        if conflict_reason:
             self._enqueue(term, now, request, grant)
             retry_after_us = self.context.rules.retry_after_us
-            return [self._defer(sender, request, conflict, retry_after_us)]
+            return [self._defer(sender, request, conflict_reason, retry_after_us)]
         return self._issue(term, now, sender, request, grant)
 
     def _answer_existing(
         self, term: LeaderTerm, sender: str, request: ChangeRequest, grant: Grant
     ) -> list[Send]:
         if grant.node != sender:
-            return [self._reject(sender, request, "this id is in use by another node")]
+            return [
+                self._reject(
+                    sender, request, "this request id is already in use by another node"
+                )
+            ]
         if grant.revocation_reason:
-            return [self.revocations.message(grant)]
+            return [self.revocations.revocation_message(grant)]
         if request.id in term.pending_grants:
             return []
-        return [self.message(grant)]
+        return [self.grant_message(grant)]
 
-    def _rejection(self, request: ChangeRequest) -> str:
-        """Why a request can never be granted; empty if it may."""
+    def _rejection_reason(self, request: ChangeRequest) -> str:
+        """Returns why a request can never be granted; empty if it can."""
         if request.id in self.context.state.ended:
-            return "this change is over; ask under another id"
+            return "this change has ended; request it under another id"
         max_duration_us = self.context.rules.max_duration_us
         if (
             request.kind not in KNOWN_KINDS
             or not 0 < request.duration_us <= max_duration_us
         ):
-            return "no such kind of change, or it may not take so long"
+            return "unknown kind of change, or a duration that is not positive or exceeds the limit"
         return ""
 
     def _is_busy(self, term: LeaderTerm) -> bool:
@@ -102,20 +108,20 @@
         )
 
     def _end_superseded(self, term: LeaderTerm, sender: str, request_id: str) -> None:
-        """Ends grants that their node has given back and requests anew under the next id."""
+        """Ends grants that their node has returned, and now requests again under the next retry id."""
         requested = parse_request_id(request_id)
         if not requested.retry:
             return
         superseded = []
         for grant in self.context.state.grants.values():
-            known = parse_request_id(grant.id)
+            granted = parse_request_id(grant.id)
             if (
                 grant.node == sender
-                and known.base == requested.base
-                and known.retry < requested.retry
+                and granted.base == requested.base
+                and granted.retry < requested.retry
             ):
                 superseded.append(grant.id)
-        self.end(term, superseded)
+        self.propose_end(term, superseded)
 
     def _enqueue(
         self, term: LeaderTerm, now: int, request: ChangeRequest, grant: Grant
@@ -139,7 +145,13 @@
     ) -> list[Send]:
         version = self.context.propose(IssueGrant(grant))
         if version is None:
-            return [self._reject(sender, request, "this request is too large")]
+            return [
+                self._reject(
+                    sender,
+                    request,
+                    "this request is too large to replicate; shorten its texts",
+                )
+            ]
         term.queue.pop(grant.id, None)
         term.pending_grants[grant.id] = version
         term.granted_at[grant.id] = term.issued_at[grant.id] = now
@@ -167,33 +179,37 @@
             ChangeDeferred(
                 request.id,
                 self.context.committed,
-                reason[:MAX_REASON_LENGTH],
+                reason[:MAX_REASON_CHARS],
                 retry_after_us,
             ),
         )
 
     # ---- conflicts ------------------------------------------------------------------------------------
 
-    def _conflict(self, term: LeaderTerm, grant: Grant) -> str:
-        """Why a change may not happen now, and what it waits for; empty if it may."""
+    def _conflict_reason(self, term: LeaderTerm, grant: Grant) -> str:
+        """Returns why a change may not start now, and what it waits for; empty if it may."""
         for incident in self.context.state.incidents.values():
             if incident_stops(incident, grant, self.context.regions):
-                reason = incident.reason[:INCIDENT_REASON_LENGTH]
-                return f"incident {incident.id} ({reason}) by {incident.opened_by}: until it is closed"
-        rivals = [
+                reason = incident.reason[:MAX_INCIDENT_REASON_CHARS]
+                return f"incident {incident.id} ({reason}) by {incident.opened_by}: wait until it is closed"
+        conflicting_grants = [
             other
             for other in self.context.state.grants.values()
             if self._conflicts(grant, other)
         ]
-        if rivals:
+        if conflicting_grants:
             if grant.emergency_reason:
-                # An emergency preempts what it conflicts with, and goes once that has stopped.
-                active = [rival.id for rival in rivals if not rival.revocation_reason]
-                self.revocations.revoke(term, active, f"emergency {grant.id}")
-            return self._wait_for(term, rivals[0])
+                # An emergency revokes the grants that it conflicts with, and is granted once they have ended.
+                to_revoke = [
+                    blocker.id
+                    for blocker in conflicting_grants
+                    if not blocker.revocation_reason
+                ]
+                self.revocations.revoke(term, to_revoke, f"emergency {grant.id}")
+            return self._wait_reason(term, conflicting_grants[0])
         if grant.emergency_reason:
             return ""
-        return self._queued_before(term, grant)
+        return self._queue_wait_reason(term, grant)
 
     def _conflicts(self, grant: Grant, other: Grant) -> bool:
         kinds = CONFLICTS_BY_KIND.get(grant.kind, frozenset())
@@ -201,39 +217,40 @@
             grant, other, self.context.regions
         )
 
-    def _wait_for(self, term: LeaderTerm, rival: Grant) -> str:
-        expires_at = term.granted_at[rival.id] + rival.duration_us
+    def _wait_reason(self, term: LeaderTerm, blocker: Grant) -> str:
+        expires_at = term.granted_at[blocker.id] + blocker.duration_us
         remaining_s = (expires_at - self.context.elector.now) / 1e6
-        scope = format_scope(rival.scope)
-        return f"{rival.kind} {scope} on {rival.node} ({rival.id}): at most {remaining_s:.0f} s"
+        scope = format_scope(blocker.scope)
+        return f"{blocker.kind} {scope} on {blocker.node} ({blocker.id}): at most {remaining_s:.0f} s"
 
-    def _queued_before(self, term: LeaderTerm, grant: Grant) -> str:
-        """The first conflicting request that came earlier; the queue goes by first arrival."""
+    def _queue_wait_reason(self, term: LeaderTerm, grant: Grant) -> str:
+        """Returns which conflicting request is ahead in the queue; empty if there is none.
+
+        The queue is in the order of first arrival.
+        """
         for request_id, queued in term.queue.items():
             if request_id == grant.id:
                 return ""
             if self._conflicts(grant, queued.grant):
                 other = queued.grant
-                return (
-                    f"{other.kind} on {other.node} ({request_id}): its turn comes first"
-                )
+                return f"{other.kind} on {other.node} ({request_id}): it was requested earlier"
         return ""
 
     # ---- grants ---------------------------------------------------------------------------------------
 
     def announce_committed(self, term: LeaderTerm, grant_ids: list[str]) -> list[Send]:
-        """Grants that a majority has come to hold go to their nodes, unless revoked meanwhile."""
+        """Returns newly committed grants as messages to their nodes; skips those revoked meanwhile."""
         sends = []
         for grant_id in grant_ids:
             grant = self.context.state.grants.get(grant_id)
             if grant is not None and not grant.revocation_reason:
                 self.context.counters.granted += 1
                 self.context.log_grant("grant issued", grant)
-                sends.append(self.message(grant))
+                sends.append(self.grant_message(grant))
         return sends
 
-    def message(self, grant: Grant) -> Send:
-        """The grant, to its node."""
+    def grant_message(self, grant: Grant) -> Send:
+        """Returns the message that announces a grant to its node."""
         return Send(
             grant.node,
             GrantIssued(
@@ -248,17 +265,17 @@
     def on_finished(
         self, term: LeaderTerm, sender: str, finished: ChangeFinished
     ) -> list[Send]:
-        """A node gives a grant back; acknowledged once a majority holds the end."""
+        """Handles a node's return of its grant; acknowledged once the grant's end is committed."""
         grant = self.context.state.grants.get(finished.id)
         if grant is not None and (grant.node, grant.token) == (sender, finished.token):
             self.context.log_grant("grant finished", grant, finished.result)
-            self.end(term, [finished.id])
-        if finished.id in term.ending_grants:
+            self.propose_end(term, [finished.id])
+        if finished.id in term.pending_grant_ends:
             return []
         return [Send(sender, ChangeFinishedAck(finished.id, finished.token))]
 
     def expire(self, term: LeaderTerm, now: int) -> None:
-        """Ends the grants whose duration is over."""
+        """Ends the grants whose duration has passed."""
         expired = [
             grant
             for grant in self.context.state.grants.values()
@@ -266,18 +283,18 @@
         ]
         for grant in expired:
             self.context.log_grant("grant expired", grant)
-        self.end(term, [grant.id for grant in expired])
+        self.propose_end(term, [grant.id for grant in expired])
 
-    def end(self, term: LeaderTerm, grant_ids: list[str]) -> None:
-        """Proposes the end of grants."""
+    def propose_end(self, term: LeaderTerm, grant_ids: list[str]) -> None:
+        """Proposes to end grants, in commands of at most `MAX_IDS_PER_COMMAND` ids."""
         for start in range(0, len(grant_ids), MAX_IDS_PER_COMMAND):
             batch = grant_ids[start : start + MAX_IDS_PER_COMMAND]
             version: StateVersion | None = self.context.propose(EndGrants(batch))
             if version is not None:
-                term.ending_grants |= dict.fromkeys(batch, version)
+                term.pending_grant_ends |= dict.fromkeys(batch, version)
 
 
-def _grant_of(node: str, request: ChangeRequest) -> Grant:
+def _grant_from_request(node: str, request: ChangeRequest) -> Grant:
     return Grant(
         request.id,
         node,
--- a/loadbalancer/freeze/heartbeat_acks.py
+++ b/loadbalancer/freeze/heartbeat_acks.py
@@ -1,7 +1,7 @@
 """Acknowledgements of heartbeats by a follower.
 
-A heartbeat is acknowledged once its term is stored, and again once all that it brought is, so that the leader
-hears of both the lease and the commit.
+A heartbeat is acknowledged once its term is stored, which grants the lease, and again once all of its
+commands are stored, which lets the leader commit.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingAck:
-    """The latest heartbeat, not all of which is stored yet."""
+    """The latest heartbeat, whose content is not completely stored yet."""
 
     leader: str
     sent_at: int
@@ -24,21 +24,25 @@
 
 
 class HeartbeatAcks:
-    """One follower's acknowledgements."""
+    """Decides when one follower acknowledges heartbeats.
+
+    Attributes:
+        pending: The latest heartbeat that is not completely acknowledged; None if there is none.
+    """
 
     def __init__(self, log: ReplicatedLog, saves: SaveTracker) -> None:
         self.log, self.saves = log, saves
         self.pending: PendingAck | None = None
 
-    def expect(
+    def acknowledge(
         self, term: int, leader: str, heartbeat: Heartbeat | SnapshotPart
     ) -> list[Send]:
-        """Acknowledges a heartbeat of this term, as far as it can be now."""
+        """Acknowledges a heartbeat of this term now if its term is stored, else by a later `due_acks`."""
         self.pending = PendingAck(leader, heartbeat.sent_at, heartbeat.lease_requested)
-        return self.due(term, leader)
+        return self.due_acks(term, leader)
 
-    def due(self, term: int, leader: str) -> list[Send]:
-        """The acknowledgement that can be sent by now to the leader of this term, if one is pending."""
+    def due_acks(self, term: int, leader: str) -> list[Send]:
+        """Returns the pending acknowledgement to the leader of this term, if it can be sent by now."""
         pending = self.pending
         if pending is None or pending.leader != leader:
             return []
@@ -49,8 +53,8 @@
         ack = self._ack(term, pending.sent_at, pending.lease_granted)
         return [Send(leader, ack)]
 
-    def refusal(self, term: int, sent_at: int) -> HeartbeatAck:
-        """The answer to a heartbeat of an earlier term."""
+    def rejection(self, term: int, sent_at: int) -> HeartbeatAck:
+        """Returns the answer to a heartbeat of an earlier term."""
         return self._ack(term, sent_at, False)
 
     def _ack(self, term: int, sent_at: int, lease_granted: bool) -> HeartbeatAck:
--- a/loadbalancer/freeze/incidents.py
+++ b/loadbalancer/freeze/incidents.py
@@ -1,8 +1,8 @@
 """Incidents at the coordinator: opened and closed by operators or by evidence, enforced, and published.
 
-An incident is first open: from then on nothing that it stops is granted. It is *in force* once nothing
-granted before can begin any more: each such change has ended or acknowledged its revocation, or the time in
-which a grant must be begun (counted by the node from its request) is over.
+From the moment at which an incident is open, no change that it stops is granted. It is *in force* once no
+such change that was granted before can start any more: each has ended, has acknowledged its revocation, or is
+past the time within which it must start (which its node counts from its request).
 """
 
 from __future__ import annotations
@@ -34,12 +34,18 @@
     OpenIncident,
 )
 
-INCIDENTS_PER_MESSAGE = 2
-MAX_REASON_LENGTH = 160
+INCIDENTS_PER_MESSAGE = 2  # so that a message fits in one datagram
+MAX_REASON_CHARS = 160  # longest reason or reply; the limit of `messages.Text`
 
 
 class CommandResult(NamedTuple):
-    """What became of an operator's command; it is confirmed once `version` is committed."""
+    """Result of an operator's command.
+
+    Attributes:
+        accepted: Whether the command was accepted.
+        text: The reply to the operator.
+        version: The reply is sent once this version is committed; None if the command changed nothing.
+    """
 
     accepted: bool
     text: str
@@ -47,7 +53,7 @@
 
 
 class Incidents:
-    """The coordinator's incidents."""
+    """Opens, closes, enforces and publishes the coordinator's incidents."""
 
     def __init__(self, context: CoordinatorContext, revocations: Revocations) -> None:
         self.context, self.revocations = context, revocations
@@ -57,7 +63,7 @@
     def on_command(
         self, term: LeaderTerm, sender: str, command: OperatorCommand
     ) -> list[Send]:
-        """Executes an operator's command; answered once a majority holds what it changed."""
+        """Executes an operator's command; the reply is sent once its change is committed."""
         if command.id in term.pending_replies:
             return []
         if command.action == "open":
@@ -65,10 +71,12 @@
         elif command.action == "close":
             result = self._close_by_command(term, command)
         else:
-            result = CommandResult(False, f"{command.action!r} is no call")
-        version, text = result.version, result.text[:MAX_REASON_LENGTH]
-        already_so = version is None and result.accepted
-        if already_so and term.incidents_version > self.context.committed:
+            result = CommandResult(
+                False, f"{command.action!r} is not an action: use open or close"
+            )
+        version, text = result.version, result.text[:MAX_REASON_CHARS]
+        already_in_effect = version is None and result.accepted
+        if already_in_effect and term.incidents_version > self.context.committed:
             version = term.incidents_version
         if version is None:
             return [self._reply(sender, command.id, result.accepted, text)]
@@ -104,8 +112,8 @@
         reply = OperatorCommandReply(command_id, self.context.committed, accepted, text)
         return Send(node, reply)
 
-    def replies_committed(self, term: LeaderTerm) -> list[Send]:
-        """Confirms the commands whose changes a majority has come to hold."""
+    def committed_replies(self, term: LeaderTerm) -> list[Send]:
+        """Returns the replies to commands whose changes are committed by now."""
         ready = {
             command_id: reply
             for command_id, reply in term.pending_replies.items()
@@ -119,10 +127,10 @@
         ]
 
     def apply_verdict(self, term: LeaderTerm, verdict: Verdict, severity: int) -> None:
-        """Opens or closes an incident that the members' reports show."""
+        """Opens or closes an incident, as the members' reports (`evidence`) require."""
         if verdict.opens:
             scope = parse_scope(verdict.scope)
-            reason = verdict.reason[:MAX_REASON_LENGTH]
+            reason = verdict.reason[:MAX_REASON_CHARS]
             incident = Incident(
                 verdict.incident_id,
                 scope,
@@ -136,20 +144,24 @@
             self.close(term, verdict.incident_id, BY_EVIDENCE)
 
     def open(self, term: LeaderTerm, incident: Incident) -> CommandResult:
-        """Opens an incident, and revokes what it stops."""
+        """Proposes to open an incident, and revokes the grants that it stops."""
         incidents = self.context.state.incidents
         existing = incidents.get(incident.id)
         if existing is not None:
             term_number, index = existing.opened_version
-            text = f"incident {incident.id} is open since ({term_number}, {index})"
+            text = (
+                f"incident {incident.id} has been open since ({term_number}, {index})"
+            )
             return CommandResult(True, text)
         if len(incidents) >= MAX_INCIDENTS:
             text = f"{MAX_INCIDENTS} incidents are open; close one first"
             return CommandResult(False, text)
         version = self.context.propose(OpenIncident(incident))
         if version is None:
-            return CommandResult(False, "the call is too large")
-        term.incidents_version = term.opening[incident.id] = version
+            return CommandResult(
+                False, "the incident is too large to replicate; shorten its reason"
+            )
+        term.incidents_version = term.pending_openings[incident.id] = version
         self.context.log_event(
             "incident opened",
             incident.reason,
@@ -158,25 +170,25 @@
             severity=incident.severity,
             by=incident.opened_by,
         )
-        self.revoke_stopped(term)
+        self.revoke_stopped_grants(term)
         return CommandResult(True, f"incident {incident.id} is open", version)
 
     def close(
         self, term: LeaderTerm, incident_id: str, closed_by: str
     ) -> StateVersion | None:
-        """Closes an incident; returns the version to wait for, None if it could not be proposed."""
+        """Closes an incident; returns the version to wait for, or None if it could not be proposed."""
         version = self.context.propose(CloseIncident(incident_id))
         if version is not None:
             term.incidents_version = version
-            term.entering_force.pop(incident_id, None)
-            term.opening.pop(incident_id, None)
+            term.pending_in_force.pop(incident_id, None)
+            term.pending_openings.pop(incident_id, None)
             self.context.log_event("incident closed", id=incident_id, by=closed_by)
         return version
 
     # ---- enforcement ----------------------------------------------------------------------------------
 
-    def revoke_stopped(self, term: LeaderTerm) -> None:
-        """Revokes the grants that an open incident stops."""
+    def revoke_stopped_grants(self, term: LeaderTerm) -> None:
+        """Revokes the grants that any open incident stops."""
         for incident in self.context.state.incidents.values():
             grant_ids = [
                 grant.id
@@ -187,34 +199,34 @@
             self.revocations.revoke(term, grant_ids, f"incident {incident.id}")
 
     def mark_in_force(self, term: LeaderTerm, now: int) -> None:
-        """Proposes the mark for each incident that no grant can begin against any more."""
+        """Proposes `MarkInForce` for each incident whose stopped changes can no longer start."""
         for incident in list(self.context.state.incidents.values()):
-            if incident.in_force or incident.id in term.entering_force:
+            if incident.in_force or incident.id in term.pending_in_force:
                 continue
-            may_begin = any(
+            may_start = any(
                 incident_stops(incident, grant, self.context.regions)
-                and self._may_begin(term, now, grant)
+                and self._may_start(term, now, grant)
                 for grant in self.context.state.grants.values()
             )
-            if may_begin:
+            if may_start:
                 continue
             version = self.context.propose(MarkInForce(incident.id))
             if version is not None:
-                term.entering_force[incident.id] = version
+                term.pending_in_force[incident.id] = version
 
-    def _may_begin(self, term: LeaderTerm, now: int, grant: Grant) -> bool:
-        """Whether a grant may still be begun; one of an earlier term cannot (see `coordinator`)."""
-        if grant.id in term.acknowledged or grant.id not in term.issued_at:
+    def _may_start(self, term: LeaderTerm, now: int, grant: Grant) -> bool:
+        """Whether a granted change may still start; one of an earlier term cannot (see `coordinator`)."""
+        if grant.id in term.acknowledged_revocations or grant.id not in term.issued_at:
             return False
         begin_within_us = self.context.rules.begin_within_us
         return now < term.issued_at[grant.id] + begin_within_us
 
     def next_deadlines(self, term: LeaderTerm, now: int) -> list[int]:
-        """When an incident may come into force."""
-        unmarked = sum(
+        """Returns the times at which an incident may come into force."""
+        not_in_force_count = sum(
             not incident.in_force for incident in self.context.state.incidents.values()
         )
-        if len(term.entering_force) >= unmarked:
+        if len(term.pending_in_force) >= not_in_force_count:
             return []
         begin_within_us = self.context.rules.begin_within_us
         return [
@@ -228,7 +240,7 @@
     def notifications(
         self, term: LeaderTerm, now: int, members: Sequence[str]
     ) -> list[Send]:
-        """All open incidents to every member, when they have changed and periodically."""
+        """Returns all open incidents for every member, if they have changed or the interval has passed."""
         if term.incidents_version > self.context.committed:
             return []
         changed = term.notified_version != term.incidents_version
--- a/loadbalancer/freeze/leader_term.py
+++ b/loadbalancer/freeze/leader_term.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows beside the replicated state: volatile, and gone with its term."""
+"""The coordinator's volatile state: what it knows beside the replicated state, for one term only."""
 
 from __future__ import annotations
 
@@ -7,20 +7,25 @@
 from loadbalancer.freeze.messages import INITIAL_VERSION, StateVersion
 from loadbalancer.freeze.state import Grant
 
-NOT_SENT = 0
+NOT_SENT = 0  # time of a message that has not been sent
 
 
 @dataclass(slots=True)
 class QueuedRequest:
-    """A request that has to wait, in the order of its first arrival."""
+    """A request that has to wait; the queue keeps the order of first arrival.
+
+    Attributes:
+        grant: The grant that the request would get.
+        requested_at: When the request last arrived, in microseconds.
+    """
 
     grant: Grant
-    requested_at: int  # the latest time
+    requested_at: int
 
 
 @dataclass(slots=True)
 class PendingReply:
-    """An operator's command that is answered once a majority holds `version`."""
+    """The reply to an operator's command, sent to `node` once `version` is committed."""
 
     node: str
     version: StateVersion
@@ -29,7 +34,12 @@
 
 @dataclass(slots=True)
 class RevocationProgress:
-    """A revocation, sent once a majority holds `version`, and again until acknowledged."""
+    """Progress of a revocation, which is sent once `version` is committed and until it is acknowledged.
+
+    Attributes:
+        version: Version of the command that revokes the grant.
+        sent_at: When the revocation was last sent, in microseconds; `NOT_SENT` if it was not.
+    """
 
     version: StateVersion = INITIAL_VERSION
     sent_at: int = NOT_SENT
@@ -37,52 +47,52 @@
 
 @dataclass
 class LeaderTerm:
-    """One term of a coordinator. Times are the coordinator's monotonic microseconds.
+    """Volatile state of one coordinator term. Times are the coordinator's monotonic microseconds.
 
     Attributes:
-        term: The election's term.
-        granted_at: By grant, the latest time at which it can have been issued.
-        issued_at: The same for grants issued in this term.
-        pending_grants: Grants not yet committed, with their versions.
-        ending_grants: Ends of grants not yet committed.
-        acknowledged: Ids of grants whose revocation was acknowledged.
-        revocations: By grant.
-        pending_replies: By operator's command.
-        entering_force: Incidents whose mark of being in force is not yet committed.
-        opening: Incidents whose opening is not yet committed.
-        queue: Requests that wait, by id.
-        incidents_version: Version of the last change of incidents.
-        notified_version: The one of which members were notified last.
-        next_notification_at: When members are notified again.
+        term: Number of the election term.
+        granted_at: By grant id, the latest time at which the grant can have been issued.
+        issued_at: By grant id, the time of issue, for grants issued in this term only.
+        pending_grants: By grant id, the version of each grant that is not yet committed.
+        pending_grant_ends: By grant id, the version of each end of a grant that is not yet committed.
+        acknowledged_revocations: Ids of grants whose revocation was acknowledged.
+        revocations: Progress of revocations, by grant id.
+        pending_replies: Replies to operators' commands that are not yet sent, by command id.
+        pending_in_force: By incident id, the version of each `MarkInForce` that is not yet committed.
+        pending_openings: By incident id, the version of each `OpenIncident` that is not yet committed.
+        queue: Requests that wait, by request id.
+        incidents_version: Version of the last change to the incidents.
+        notified_version: The `incidents_version` of the last notification to the members.
+        next_notification_at: When the members are notified next, even without a change.
     """
 
     term: int
     granted_at: dict[str, int] = field(default_factory=dict)
     issued_at: dict[str, int] = field(default_factory=dict)
     pending_grants: dict[str, StateVersion] = field(default_factory=dict)
-    ending_grants: dict[str, StateVersion] = field(default_factory=dict)
-    acknowledged: set[str] = field(default_factory=set)
+    pending_grant_ends: dict[str, StateVersion] = field(default_factory=dict)
+    acknowledged_revocations: set[str] = field(default_factory=set)
     revocations: dict[str, RevocationProgress] = field(default_factory=dict)
     pending_replies: dict[str, PendingReply] = field(default_factory=dict)
-    entering_force: dict[str, StateVersion] = field(default_factory=dict)
-    opening: dict[str, StateVersion] = field(default_factory=dict)
+    pending_in_force: dict[str, StateVersion] = field(default_factory=dict)
+    pending_openings: dict[str, StateVersion] = field(default_factory=dict)
     queue: dict[str, QueuedRequest] = field(default_factory=dict)
     incidents_version: StateVersion = INITIAL_VERSION
     notified_version: StateVersion = INITIAL_VERSION
     next_notification_at: int = 0
 
     def forget_grant(self, grant_id: str) -> None:
-        """A majority holds the end of a grant."""
+        """Drops everything about a grant whose end is committed."""
         self.granted_at.pop(grant_id, None)
         self.issued_at.pop(grant_id, None)
         self.revocations.pop(grant_id, None)
-        self.acknowledged.discard(grant_id)
+        self.acknowledged_revocations.discard(grant_id)
 
 
-def take_committed(
+def pop_committed(
     pending: dict[str, StateVersion], committed: StateVersion
 ) -> list[str]:
-    """Removes the entries whose version is committed, and returns their keys."""
+    """Removes the entries whose version is at most `committed`, and returns their keys."""
     keys = [key for key, version in pending.items() if version <= committed]
     for key in keys:
         del pending[key]
--- a/loadbalancer/freeze/machine.py
+++ b/loadbalancer/freeze/machine.py
@@ -1,6 +1,7 @@
-"""One node's part in the freeze: its client, and on an elector the election and the coordinator.
+"""The change freeze at one node: its client and, if the node is an elector, its elector and coordinator.
 
-Pure: datagrams and monotonic microseconds in, `Save` and `Send` out, to be done in order.
+The state machine does no I/O: it takes datagrams and monotonic microseconds, and returns `Save` and `Send`
+actions that the host must execute in order.
 """
 
 from __future__ import annotations
@@ -32,23 +33,30 @@
 from loadbalancer.freeze.rules import FreezeRules
 from loadbalancer.freeze.state import FreezeState
 
-MAX_OWN_EXCHANGES = 10_000  # far above any exchange of a node with itself
+# Far above the rounds that any exchange of a node with itself takes.
+MAX_SELF_DELIVERY_ROUNDS = 10_000
 
 
 @dataclass
 class DatagramCounters:
-    """Datagrams that were dropped; the names are published figures."""
+    """Counters of dropped datagrams; published under the attribute names.
+
+    Attributes:
+        malformed: Datagrams that could not be decoded.
+        foreign: Datagrams that carry this node's own name as their sender.
+    """
 
     malformed: int = 0
-    foreign: int = 0  # under this node's own name
+    foreign: int = 0
 
 
 class FreezeNode:
-    """The freeze at one node.
+    """The state machine of the change freeze at one node.
 
     Attributes:
-        elector: None where the node is no elector, or its store cannot be written.
-        coordinator: None likewise.
+        client: Requests this node's changes from the coordinator.
+        elector: None if the node is not an elector, or if its store cannot be written.
+        coordinator: None in the same cases as `elector`.
     """
 
     def __init__(
@@ -60,18 +68,18 @@
         record: bytes | None,
         elector_type: type[Elector] = Elector,
     ) -> None:
-        """Begins from what the store holds.
+        """Starts from the record in the store.
 
         Args:
             name: The node's name.
-            rules: The rules, the same in all nodes.
-            seed: For the jitter of candidacies.
+            rules: The rules, which must be the same at all nodes.
+            seed: Seed for the jitter of candidacies.
             now: Monotonic microseconds.
-            record: Of an elector, its stored record (`elector_record.RECORD_NAME`); None if there is none.
-            elector_type: The elector's class; a check replaces it.
+            record: An elector's stored record (`elector_record.RECORD_NAME`); None if there is none.
+            elector_type: Class of the elector; checks replace it by faulty ones.
 
         Raises:
-            FreezeRecordError: `record` is no elector's record.
+            FreezeRecordError: `record` is not an elector's record.
         """
         self.name, self.rules = name, rules
         self.client = FreezeClient(name, rules.client, rules.regions)
@@ -88,7 +96,7 @@
     # ---- called by the host ---------------------------------------------------------------------------
 
     def set_members(self, names: Sequence[str]) -> None:
-        """Sets the live members, which are notified of incidents."""
+        """Sets the names of the live members; the coordinator notifies them of incidents."""
         if self.elector is not None and self.coordinator is not None:
             self.coordinator.members = names
             electors = self.rules.election.electors
@@ -97,76 +105,81 @@
             )
 
     def receive_datagram(self, now: int, data: bytes) -> list[Action]:
-        """Takes one datagram and follows it up; one that cannot be read is counted."""
-        datagram = self._read(data)
+        """Handles one datagram and runs the coordinator; a malformed datagram is counted and dropped."""
+        datagram = self._decode(data)
         if datagram is None:
             return []
         return self.receive(now, datagram.sender, datagram.message)
 
     def receive_batched(self, now: int, data: bytes) -> list[Action]:
-        """Takes one of several datagrams that came together; a `tick` must follow the last.
+        """Handles one datagram of a batch; the host must call `tick` after the last one.
 
-        What all of them lead to then costs one write of the store and one round.
+        The commands that result from the batch are then stored with one write and sent in one round.
         """
-        datagram = self._read(data)
+        datagram = self._decode(data)
         if datagram is None:
             return []
-        taken = self._take(now, datagram.sender, datagram.message)
-        return self._deliver_own(now, taken)
+        actions = self._dispatch(now, datagram.sender, datagram.message)
+        return self._deliver_to_self(now, actions)
 
     def receive(self, now: int, sender: str, message: FreezeMessage) -> list[Action]:
-        """Takes one decoded message and follows it up."""
-        return self._follow_up(now, self._take(now, sender, message))
+        """Handles one decoded message and runs the coordinator."""
+        return self._run_coordinator(now, self._dispatch(now, sender, message))
 
     def tick(self, now: int) -> list[Action]:
-        """Does what is due."""
+        """Executes what is due at the elector, the client and the coordinator."""
         actions: list[Action] = []
         if self.elector is not None:
             actions += self.elector.tick(now)
-        return self._follow_up(now, [*actions, *self.client.tick(now)])
+        return self._run_coordinator(now, [*actions, *self.client.tick(now)])
 
     def stored(self, now: int, number: int) -> list[Action]:
-        """The store holds the `Save` of this number."""
+        """Handles the host's report that the store holds the `Save` of this number."""
         actions = self.elector.stored(now, number) if self.elector is not None else []
-        return self._follow_up(now, actions)
+        return self._run_coordinator(now, actions)
 
     def request(self, now: int, change: RequestedChange) -> list[Action]:
-        """This node wants to change something; see `FreezeClient.request`."""
-        return self._follow_up(now, self.client.request(now, change))
+        """Requests a change at this node; see `FreezeClient.request`."""
+        return self._run_coordinator(now, self.client.request(now, change))
 
     def finish(self, now: int, change_id: str, result: str) -> list[Action]:
-        """A change has ended; see `FreezeClient.finish`."""
-        return self._follow_up(now, self.client.finish(now, change_id, result))
+        """Reports that a change at this node has ended; see `FreezeClient.finish`."""
+        return self._run_coordinator(now, self.client.finish(now, change_id, result))
 
     def command(
         self, now: int, command: OperatorCommand, timeout_us: int
     ) -> list[Action]:
-        """An operator's command at this node; see `FreezeClient.command`."""
-        return self._follow_up(now, self.client.command(now, command, timeout_us))
+        """Sends an operator's command from this node; see `FreezeClient.command`."""
+        return self._run_coordinator(now, self.client.command(now, command, timeout_us))
 
     def declare_reset(self, now: int) -> list[Action]:
-        """An operator declares the replicated state gone; see `Elector.declare_reset`."""
+        """Records an operator's declaration that the state is lost; see `Elector.declare_reset`."""
         if self.elector is not None:
             self.elector.declare_reset(now)
-        return self._follow_up(now, [])
+        return self._run_coordinator(now, [])
 
     def next_deadline(self) -> int | None:
-        """When `tick` should next be called."""
-        times = [self.client.next_deadline()]
+        """Returns when `tick` should next be called, in monotonic microseconds; None if nothing is due."""
+        deadlines = [self.client.next_deadline()]
         if self.elector is not None and self.coordinator is not None:
-            times += [self.elector.next_deadline(), self.coordinator.next_deadline()]
-        return min((time for time in times if time is not None), default=None)
+            deadlines += [
+                self.elector.next_deadline(),
+                self.coordinator.next_deadline(),
+            ]
+        return min(
+            (deadline for deadline in deadlines if deadline is not None), default=None
+        )
 
     def drain(self) -> tuple[list[FreezeEvent], list[RequestOutcome]]:
         """Returns the events to log, and the outcomes of this node's requests, since the last call."""
         events: list[FreezeEvent] = []
         if self.elector is not None and self.coordinator is not None:
-            events = [*self.elector.drain(), *self.coordinator.drain()]
+            events = [*self.elector.pop_events(), *self.coordinator.pop_events()]
         return events, self.client.drain()
 
     # ---- messages -------------------------------------------------------------------------------------
 
-    def _read(self, data: bytes) -> FreezeDatagram | None:
+    def _decode(self, data: bytes) -> FreezeDatagram | None:
         try:
             datagram = decode(data)
         except FreezeMessageError:
@@ -177,14 +190,16 @@
             return None
         return datagram
 
-    def _take(self, now: int, sender: str, message: FreezeMessage) -> Sequence[Action]:
+    def _dispatch(
+        self, now: int, sender: str, message: FreezeMessage
+    ) -> Sequence[Action]:
         if isinstance(message, ElectionMessage):
-            return self._take_election(now, sender, message)
+            return self._dispatch_election(now, sender, message)
         if isinstance(message, RequestMessage):
-            return self._take_request(now, sender, message)
+            return self._dispatch_request(now, sender, message)
         return self.client.receive(now, sender, message)
 
-    def _take_election(
+    def _dispatch_election(
         self, now: int, sender: str, message: ElectionMessage
     ) -> Sequence[Action]:
         if self.elector is not None:
@@ -193,7 +208,7 @@
             return []
         if sender not in self.rules.election.electors:
             return []
-        # A member that is no elector may remember a term that all electors have forgotten.
+        # A member that is not an elector may know a term of which all electors have lost the record.
         response = RecoveryResponse(
             message.nonce,
             self.client.locator.term,
@@ -203,13 +218,13 @@
         )
         return [Send(sender, response)]
 
-    def _take_request(
+    def _dispatch_request(
         self, now: int, sender: str, message: RequestMessage
     ) -> Sequence[Action]:
         coordinator = self.coordinator
         if coordinator is None:
-            known = self.client.locator.coordinator
-            leader = known if known != self.name else ""
+            known_coordinator = self.client.locator.coordinator
+            leader = known_coordinator if known_coordinator != self.name else ""
             return [Send(sender, RedirectToLeader(leader, self.client.locator.term))]
         if isinstance(message, ChangeRequest):
             return coordinator.on_change_request(now, sender, message)
@@ -219,28 +234,32 @@
             return coordinator.on_operator_command(now, sender, message)
         return coordinator.on_revocation_ack(now, sender, message)
 
-    # ---- following up ---------------------------------------------------------------------------------
+    # ---- actions --------------------------------------------------------------------------------------
+
+    def _run_coordinator(self, now: int, actions: Iterable[Action]) -> list[Action]:
+        """Runs the coordinator and flushes its commands until neither yields any more actions.
 
-    def _follow_up(self, now: int, actions: Iterable[Action]) -> list[Action]:
-        """Runs the coordinator on what is committed by now, and flushes its commands, until all is done."""
-        done = self._deliver_own(now, actions)
+        Returns:
+            The actions for the host, including those of `actions` that are not messages to this node.
+        """
+        outgoing = self._deliver_to_self(now, actions)
         if self.elector is None or self.coordinator is None:
-            return done
-        for _ in range(MAX_OWN_EXCHANGES):
-            following = [*self.coordinator.tick(now), *self.elector.flush(now)]
-            if not following:
+            return outgoing
+        for _ in range(MAX_SELF_DELIVERY_ROUNDS):
+            further_actions = [*self.coordinator.tick(now), *self.elector.flush(now)]
+            if not further_actions:
                 break
-            done += self._deliver_own(now, following)
-        return done
-
-    def _deliver_own(self, now: int, actions: Iterable[Action]) -> list[Action]:
-        """Takes this node's messages to itself at once; returns the other actions."""
-        others: list[Action] = []
-        waiting = deque(actions)
-        while waiting:
-            action = waiting.popleft()
+            outgoing += self._deliver_to_self(now, further_actions)
+        return outgoing
+
+    def _deliver_to_self(self, now: int, actions: Iterable[Action]) -> list[Action]:
+        """Handles this node's messages to itself at once; returns all other actions."""
+        outgoing: list[Action] = []
+        pending = deque(actions)
+        while pending:
+            action = pending.popleft()
             if isinstance(action, Save) or action.to != self.name:
-                others.append(action)
+                outgoing.append(action)
             else:
-                waiting.extend(self._take(now, self.name, action.message))
-        return others
+                pending.extend(self._dispatch(now, self.name, action.message))
+        return outgoing
--- a/loadbalancer/freeze/recovery.py
+++ b/loadbalancer/freeze/recovery.py
@@ -1,13 +1,14 @@
-"""Recovery of an elector whose store was lost, by what the other electors know.
+"""Recovery of an elector whose store was lost, from the state of the other electors.
 
-It has forgotten its votes and what it has acknowledged, so it takes no part in votes or majorities until, a
-lease after its start, one of these holds:
+The elector has lost the record of its votes and acknowledgements, so it takes no part in votes or majorities
+until, one lease after its start at the earliest, one of these conditions holds:
 
-* A majority of *other* electors has told it their terms and versions. One of them took part in whatever this
-  one has forgotten (Viewstamped Replication Revisited, Liskov, Cowling 2012, recovers so).
-* All others have answered, whatever they hold: a first start, or the loss of more than a minority of stores,
-  after which what any of them still holds is kept.
-* Operators have declared at a majority that the state that the rest holds is gone.
+* A majority of *other* electors has reported its terms and versions. At least one of them took part in every
+  decision that this elector may have forgotten. This is the recovery protocol of Viewstamped Replication
+  Revisited (Liskov, Cowling 2012).
+* All other electors have answered, whatever they hold. This covers a first start, and the loss of more than a
+  minority of stores, after which the state that any elector still holds is kept.
+* Operators have declared at a majority of electors that the state of the others is lost for good.
 """
 
 from __future__ import annotations
@@ -20,11 +21,20 @@
 )
 from loadbalancer.freeze.rules import ElectionRules
 
-NONCE_LIMIT = 1 << 52
+NONCE_LIMIT = 1 << 52  # exclusive; fits `messages.Number`
 
 
 class Recovery:
-    """The answers that a recovering elector has to its latest request."""
+    """One elector's recovery: its latest request and the responses to it.
+
+    Attributes:
+        next_request_at: When the next request is due, in monotonic microseconds.
+        nonce: Identifies the latest request.
+        responses: Responses of other electors to the latest request, by name.
+        other_members: Names of the members that are not electors.
+        highest_member_term: The highest term reported by a member that is not an elector.
+        reset_declared: Whether an operator has declared the replicated state lost at this node.
+    """
 
     def __init__(
         self, rules: ElectionRules, others: tuple[str, ...], first_request_at: int
@@ -33,13 +43,13 @@
         self.next_request_at = first_request_at
         self.nonce = 0
         self.responses: dict[str, RecoveryResponse] = {}
-        # Members that are no electors may remember a term that all electors have forgotten.
+        # Members that are not electors may know a term of which all electors have lost the record.
         self.other_members: tuple[str, ...] = ()
         self.highest_member_term = 0
         self.reset_declared = False
 
-    def begin_round(self, now: int, nonce: int) -> list[Send]:
-        """Asks all others anew; `nonce` excludes earlier answers that are still under way."""
+    def start_round(self, now: int, nonce: int) -> list[Send]:
+        """Returns requests to all other nodes; `nonce` excludes delayed responses to earlier requests."""
         self.next_request_at = now + self.rules.candidacy_jitter_us
         self.nonce = nonce
         self.responses = {}
@@ -54,32 +64,42 @@
         *,
         state_lost: bool,
     ) -> RecoveryResponse:
-        """The answer to another elector's request, by one that has `term` and `version`."""
+        """Returns the response of an elector that has `term` and `version` to another elector's request."""
         return RecoveryResponse(
             request.nonce, term, version, state_lost, self.reset_declared
         )
 
-    def record(self, sender: str, response: RecoveryResponse) -> bool:
-        """Takes an answer; returns whether a majority of others knows what this elector has forgotten."""
+    def record_response(self, sender: str, response: RecoveryResponse) -> bool:
+        """Records a response of any member.
+
+        Returns:
+            Whether a majority of other electors, all with intact stores, has answered.
+        """
         if sender not in self.others:
             self.highest_member_term = max(self.highest_member_term, response.term)
             return False
         self.responses[sender] = response
-        intact = sum(not answer.state_lost for answer in self.responses.values())
-        return intact >= self.rules.majority
+        intact_count = sum(not answer.state_lost for answer in self.responses.values())
+        return intact_count >= self.rules.majority
 
-    def may_start_anew(self) -> bool:
-        """Whether nothing that is still held can be missing: all have answered, or a reset is declared."""
-        declared = 1 + sum(answer.reset_declared for answer in self.responses.values())
+    def may_start_empty(self) -> bool:
+        """Whether the elector may resume without a majority of intact stores.
+
+        This is the case once all other electors have answered, so that no surviving state can be missed, or
+        once operators have declared a reset at a majority.
+        """
+        declaration_count = 1 + sum(
+            answer.reset_declared for answer in self.responses.values()
+        )
         return len(self.responses) == len(self.others) or (
-            self.reset_declared and declared >= self.rules.majority
+            self.reset_declared and declaration_count >= self.rules.majority
         )
 
     def highest_term(self) -> int:
-        """The highest term that any node has named."""
+        """Returns the highest term that any node has reported."""
         terms = [answer.term for answer in self.responses.values()]
         return max(self.highest_member_term, *terms)
 
     def newest_version(self) -> StateVersion:
-        """The newest version that another elector has named."""
+        """Returns the newest version that another elector has reported."""
         return max(answer.version for answer in self.responses.values())
--- a/loadbalancer/freeze/replicated_log.py
+++ b/loadbalancer/freeze/replicated_log.py
@@ -1,7 +1,8 @@
-"""The replicated state of one elector with its version, the recent commands, and transfers of snapshots.
+"""The replicated state of one elector with its version, recent commands, and snapshot transfers.
 
-A version (term, index) is made by one leader once, so equal versions are equal states. A leader sends the
-commands that lead from the version an elector holds to its own, or the whole state in parts.
+Each version (term, index) is created only once, by one leader, so equal versions mean equal states. To update
+another elector, a leader sends the commands between that elector's version and its own, or the complete state
+in parts.
 """
 
 from __future__ import annotations
@@ -18,31 +19,31 @@
     StateVersion,
 )
 
-MAX_LOG_COMMANDS = 512  # an elector that lags further gets a snapshot
+MAX_LOG_COMMANDS = 512  # an elector that lags further behind receives a snapshot
 
 
 class ReplicatedState(Protocol):
-    """The state that is replicated: commands applied in one order give the same everywhere."""
+    """A deterministic state: the same commands in the same order give the same state everywhere."""
 
     def apply(self, version: StateVersion, data: bytes) -> None:
-        """Applies a command that leads to `version`; must not raise."""
+        """Applies a command that produces `version`; must not raise."""
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the encoded complete state."""
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by what `snapshot` returned."""
+        """Replaces the state by one that `snapshot` returned."""
 
 
 class LogEntry(NamedTuple):
-    """A command, and the version that it follows on."""
+    """A command, and the version to which it applies."""
 
     previous_version: StateVersion
     command: ReplicatedCommand
 
 
 class Snapshot(NamedTuple):
-    """The whole state at a version."""
+    """The encoded complete state at a version."""
 
     version: StateVersion
     data: bytes
@@ -50,7 +51,7 @@
 
 @dataclass(slots=True)
 class SnapshotTransfer:
-    """A snapshot that arrives in parts."""
+    """A snapshot that is being received in parts, from the leader of `term`."""
 
     term: int
     version: StateVersion
@@ -58,7 +59,13 @@
 
 
 class ReplicatedLog:
-    """The replicated state at `version`."""
+    """The replicated state with its version and recent commands.
+
+    Attributes:
+        state: The replicated state, at `version`.
+        entries: At the leader, the recent commands, oldest first.
+        transfer: At a follower, the snapshot that is being received; None if there is none.
+    """
 
     def __init__(self, state: ReplicatedState, version: StateVersion) -> None:
         self.state = state
@@ -69,13 +76,13 @@
 
     # ---- at the leader --------------------------------------------------------------------------------
 
-    def begin_term(self) -> None:
-        """Forgets the commands of an earlier leadership."""
+    def start_term(self) -> None:
+        """Discards the commands and the snapshot of an earlier term as leader."""
         self.entries.clear()
         self._snapshot = Snapshot(INITIAL_VERSION, b"")
 
     def append(self, term: int, data: bytes) -> StateVersion:
-        """Applies a command of the leader's own; empty data changes only the version."""
+        """Applies and logs a command at the leader; empty data changes only the version."""
         previous = self.version
         self.version = StateVersion(term, previous.log_index + 1)
         if data:
@@ -84,7 +91,7 @@
         return self.version
 
     def entries_from(self, version: StateVersion) -> list[LogEntry]:
-        """The commands that follow on `version`; none if the log does not reach back to it."""
+        """Returns the commands after `version`; none if the log does not reach back to it."""
         entries = list(self.entries)
         for index, entry in enumerate(entries):
             if entry.previous_version == version:
@@ -92,10 +99,10 @@
         return []
 
     def snapshot(self) -> Snapshot:
-        """A snapshot that the log follows on.
+        """Returns a snapshot from which the logged commands lead to the current version.
 
-        It is kept as long as the log reaches back to it: while changes go on, an elector that misses one
-        part would otherwise never get all parts of one version.
+        A snapshot is reused while the log reaches back to it. Otherwise, while commands keep arriving, an
+        elector that misses one part would never receive all parts of one version.
         """
         version = self._snapshot.version
         if version != self.version and not self.entries_from(version):
@@ -107,7 +114,7 @@
     def apply_commands(
         self, previous_version: StateVersion, commands: Sequence[ReplicatedCommand]
     ) -> bool:
-        """Applies those commands that follow on this version; returns whether any did."""
+        """Applies the commands that continue from the current version; returns whether there were any."""
         previous, changed = previous_version, False
         for command in commands:
             if previous == self.version and command.version > self.version:
@@ -118,7 +125,11 @@
         return changed
 
     def apply_snapshot_part(self, part: SnapshotPart) -> bool:
-        """Takes one part; with the last one the snapshot replaces the state. Returns whether it did."""
+        """Stores one part of a snapshot; the last one replaces the state.
+
+        Returns:
+            Whether the state was replaced.
+        """
         if part.version <= self.version:
             return False
         transfer = self.transfer
--- a/loadbalancer/freeze/revocations.py
+++ b/loadbalancer/freeze/revocations.py
@@ -1,4 +1,4 @@
-"""Revocation of grants: proposed, sent once a majority holds it, and repeated until acknowledged."""
+"""Revocation of grants: proposed, sent once committed, and repeated until acknowledged."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class Revocations:
-    """The coordinator's revocations."""
+    """Proposes, sends and tracks the coordinator's revocations."""
 
     def __init__(self, context: CoordinatorContext) -> None:
         self.context = context
 
     def revoke(self, term: LeaderTerm, grant_ids: list[str], reason: str) -> None:
-        """Proposes to revoke grants."""
+        """Proposes to revoke grants, in commands of at most `MAX_IDS_PER_COMMAND` ids."""
         for start in range(0, len(grant_ids), MAX_IDS_PER_COMMAND):
             batch = grant_ids[start : start + MAX_IDS_PER_COMMAND]
             version = self.context.propose(RevokeGrants(batch, reason))
@@ -27,11 +27,11 @@
             self.context.counters.halted += len(batch)
 
     def due_messages(self, term: LeaderTerm, now: int) -> list[Send]:
-        """Revocations that a majority holds and that are to be sent, or sent again."""
+        """Returns the committed revocations that are due to be sent for the first time or again."""
         sends: list[Send] = []
         interval_us = self.context.rules.revocation_interval_us
         for grant in self.context.state.grants.values():
-            if not grant.revocation_reason or grant.id in term.acknowledged:
+            if not grant.revocation_reason or grant.id in term.acknowledged_revocations:
                 continue
             # A revocation by an earlier coordinator has no progress yet: it is committed, and due at once.
             progress = term.revocations.get(grant.id) or RevocationProgress()
@@ -40,21 +40,21 @@
                 and now >= progress.sent_at + interval_us
             ):
                 term.revocations[grant.id] = RevocationProgress(progress.version, now)
-                sends.append(self.message(grant))
+                sends.append(self.revocation_message(grant))
         return sends
 
     def next_deadlines(self, term: LeaderTerm) -> list[int]:
-        """When revocations are due to be sent again."""
+        """Returns the times at which unacknowledged revocations are due to be sent."""
         return [
             progress.sent_at + self.context.rules.revocation_interval_us
             for grant_id, progress in term.revocations.items()
             if grant_id in self.context.state.grants
-            and grant_id not in term.acknowledged
+            and grant_id not in term.acknowledged_revocations
             and progress.version <= self.context.committed
         ]
 
-    def message(self, grant: Grant) -> Send:
-        """The revocation of a grant, to its node."""
+    def revocation_message(self, grant: Grant) -> Send:
+        """Returns the message that revokes a grant at its node."""
         return Send(
             grant.node,
             Revocation(
@@ -63,7 +63,7 @@
         )
 
     def on_ack(self, term: LeaderTerm, sender: str, ack: RevocationAck) -> None:
-        """The node has stopped the change, or will not begin it."""
+        """Handles a node's report that it has stopped the change, or will not start it."""
         grant = self.context.state.grants.get(ack.id)
         if grant is not None and (grant.node, grant.token) == (sender, ack.token):
-            term.acknowledged.add(ack.id)
+            term.acknowledged_revocations.add(ack.id)
--- a/loadbalancer/freeze/saves.py
+++ b/loadbalancer/freeze/saves.py
@@ -1,4 +1,4 @@
-"""Which term and version an elector's store holds, and which saves are under way."""
+"""Tracks the term and version in an elector's store, and the saves that are under way."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class SavedVersion(NamedTuple):
-    """What one save puts into the store."""
+    """Term and version that one save writes to the store."""
 
     term: int
     version: StateVersion
 
 
 class SaveTracker:
-    """The saves of one elector.
+    """Numbers the saves of one elector, and tracks which of them are stored.
 
     Attributes:
         count: Number of the latest save.
-        stored: What the store is known to hold.
+        stored: Term and version that the store is known to hold.
         latest_version: The version in the latest save, stored or not.
     """
 
@@ -29,22 +29,22 @@
         self.latest_version = version
         self._unconfirmed: dict[int, SavedVersion] = {}
 
-    def begin(self, term: int, version: StateVersion) -> int:
-        """Numbers a new save."""
+    def register(self, term: int, version: StateVersion) -> int:
+        """Registers a new save and returns its number."""
         self.count += 1
         self.latest_version = version
         self._unconfirmed[self.count] = SavedVersion(term, version)
         return self.count
 
     def confirm(self, number: int) -> None:
-        """The store holds the save `number`, and so all before it."""
-        for earlier in [save for save in self._unconfirmed if save <= number]:
-            self.stored = self._unconfirmed.pop(earlier)
+        """Records that the store holds save `number`, and thus all earlier ones."""
+        for confirmed in [save for save in self._unconfirmed if save <= number]:
+            self.stored = self._unconfirmed.pop(confirmed)
 
     def confirm_all(self) -> None:
-        """Counts all saves as stored."""
+        """Records that all saves are stored."""
         self.confirm(self.count)
 
     def latest_unconfirmed(self) -> int:
-        """Number of the latest save if it is not stored yet; else 0."""
+        """Returns the number of the latest save if any save is not stored yet, else 0."""
         return self.count if self._unconfirmed else 0
--- a/loadbalancer/freeze/vote_guard.py
+++ b/loadbalancer/freeze/vote_guard.py
@@ -1,4 +1,4 @@
-"""What keeps an elector from voting: leases, known or forgotten, and the state that it knows of."""
+"""Restrictions on an elector's votes: leases that it granted, and the newest state that it knows of."""
 
 from __future__ import annotations
 
@@ -9,10 +9,12 @@
     """The restrictions on one elector's votes. Times are monotonic microseconds.
 
     Attributes:
-        lease_until: Until then it votes for nobody but the leader to whom it granted a lease.
-        embargo_until: Until then it votes for nobody: the leases of an earlier process are forgotten.
-        disabled: The host disables votes while the node is behind the others.
-        minimum_version: It votes for nobody with an older state than this, which it has heard of.
+        lease_until: Until then, the elector votes only for the leader to which it granted a lease.
+        embargo_until: Until then, the elector casts no vote, because leases that an earlier process granted
+            are not stored.
+        disabled: Set by the host while its node is behind the others; the elector then casts no vote.
+        minimum_version: The elector votes for no candidate with an older state than this one, which it
+            learned of during recovery.
     """
 
     def __init__(self, now: int, embargo_until: int) -> None:
@@ -22,15 +24,15 @@
         self.minimum_version = INITIAL_VERSION
 
     def may_vote_for(self, now: int, candidate: str, leader: str) -> bool:
-        """Whether no lease forbids a vote for `candidate`, while `leader` is the last leader heard of."""
+        """Whether the elector may vote for `candidate`, where `leader` is the last known leader."""
         if self.disabled or now < self.embargo_until:
             return False
         return now >= self.lease_until or candidate == leader
 
     def earliest_candidacy(self, next_at: int) -> int:
-        """When a follower may start a candidacy that is due at `next_at`."""
+        """Returns the earliest time at which a follower may start a candidacy that is due at `next_at`."""
         return max(next_at, self.lease_until, self.embargo_until)
 
-    def newest(self, version: StateVersion) -> StateVersion:
-        """The newest version known of, by an elector that holds `version`."""
+    def newest_known_version(self, version: StateVersion) -> StateVersion:
+        """Returns the newest version known to an elector whose own state has `version`."""
         return max(version, self.minimum_version)
