--- a/tests/test_freeze_check.py
+++ b/tests/test_freeze_check.py
@@ -1,4 +1,7 @@
-"""The check of all small worlds of the freeze: it holds as things are, and finds faults put in on purpose."""
+"""Model check of the change freeze in small worlds.
+
+The correct implementation must pass, and each fault that is injected on purpose must be found.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,17 @@
 from loadbalancer.lab.freeze_check_roots import roots
 from loadbalancer.lab.freeze_check_state import Budget
 
-# Each by itself: the worlds in which all faults may happen are too many for every run of the tests.
-BUDGETS = {
-    "nothing but order, loss and time": Budget(0, 0, 0, 0),
+# One kind of fault each: with all kinds at once, there are too many worlds to search in every test run.
+SINGLE_FAULT_BUDGETS = {
+    "only reordering, loss and time": Budget(0, 0, 0, 0),
     "a kill that keeps the store": Budget(1, 0, 0, 0),
     "a kill that loses the store": Budget(0, 1, 0, 0),
     "a pause": Budget(0, 0, 1, 0),
     "a datagram twice": Budget(0, 0, 0, 1),
     "two changes and an incident": Budget(0, 0, 0, 0, (1, 2), True),
 }
-EVERYTHING = Budget(1, 1, 1, 1, (1, 2), True)
-NEEDS = {  # where, and with which faults of the surroundings, each fault of the machine shows
+ALL_FAULTS = Budget(1, 1, 1, 1, (1, 2), True)
+FAULT_SETUPS = {  # for each injected fault, the budget and the root of a search that finds it
     "a vote is given before it is stored": (
         Budget(0, 0, 0, 0),
         "the voter was killed since, and may vote again",
@@ -35,22 +38,22 @@
 }
 
 
-@pytest.mark.parametrize("name", BUDGETS)
-def test_all_small_worlds_hold(name: str) -> None:
+@pytest.mark.parametrize("name", SINGLE_FAULT_BUDGETS)
+def test_search_of_small_worlds_finds_no_violation(name: str) -> None:
     check = FreezeCheck(CORRECT)
     seen = 0
-    for root in roots(check, BUDGETS[name]).values():
-        wrong, path, count = check.search(root, 4)
-        assert (wrong, path) == ([], [])
+    for root in roots(check, SINGLE_FAULT_BUDGETS[name]).values():
+        violations, path, count = check.search(root, 4)
+        assert (violations, path) == ([], [])
         seen += count
     assert seen > 200
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_a_fault_put_in_on_purpose_is_found_and_without_it_the_same_search_passes(
+def test_search_finds_each_injected_fault_and_passes_without_it(
     name: str,
 ) -> None:
-    budget, root = NEEDS[name]
+    budget, root = FAULT_SETUPS[name]
     found = {}
     for kind in (MUTANTS[name], CORRECT):
         check = FreezeCheck(kind)
@@ -60,14 +63,17 @@
 
 
 @pytest.mark.parametrize("electors", [3, 5])
-def test_drawn_courses_hold(electors: int) -> None:
+def test_random_runs_find_no_violation(electors: int) -> None:
     check = FreezeCheck(CORRECT, electors)
-    terms = given = 0
+    terms = granted = 0
     for seed in range(30):
-        wrong, path, end = check.draw(
-            check.begin(EVERYTHING, seed % electors), seed, 300
+        violations, path, final_state = check.draw(
+            check.begin(ALL_FAULTS, seed % electors), seed, 300
+        )
+        assert violations == [], path
+        terms, granted = (
+            terms + len(final_state.elected),
+            granted + len(final_state.granted),
         )
-        assert wrong == [], path
-        terms, given = terms + len(end.elected), given + len(end.granted)
     assert terms > 50
-    assert given > 5
+    assert granted > 5
