--- a/tests/test_freeze.py
+++ b/tests/test_freeze.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_coordinator_that_is_killed_is_followed_within_two_leases_and_forgets_nothing(
+def test_killed_coordinator_is_replaced_within_two_leases_and_all_state_is_kept(
     seed: int,
 ) -> None:
     world = settled(seed=seed, electors=5)
@@ -85,14 +85,14 @@
     well(world)
 
 
-def test_a_coordinator_that_wakes_after_five_seconds_acts_no_more() -> None:
+def test_coordinator_that_was_paused_for_five_seconds_takes_no_more_decisions() -> None:
     world = settled()
     first = leader(world)
-    asker, other = others(world, *world.rules.election.electors)[:2]
+    requester, other = others(world, *world.rules.election.electors)[:2]
     world.pause(first, 5 * SECOND)
-    # Its own questions, and those of a node that holds on to it, wait in its socket.
+    # Messages to it, such as requests of a node that still takes it for the coordinator, wait in its socket.
     for i in range(4):
-        world.at(world.now + i * SECOND, partial(world.request, asker, f"late{i}"))
+        world.at(world.now + i * SECOND, partial(world.request, requester, f"late{i}"))
     assert world.run_until(lambda: world.coordinator() not in (None, first), 4 * SECOND)
     world.run(world.now + 1_100_000)
     world.request(other, "new")
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("out", [True, False])
-def test_a_coordinator_cut_off_in_one_direction_is_replaced(out: bool) -> None:
+def test_coordinator_cut_off_in_one_direction_is_replaced(out: bool) -> None:
     world = settled(electors=5)
     first = leader(world)
     rest = others(world, first)
@@ -118,21 +118,21 @@
     second = leader(world)
     world.network.cut.clear()
     world.run(world.now + 10 * SECOND)
-    assert leader(world) == second  # nobody topples it when the cut heals
+    assert leader(world) == second  # no elector deposes it when the cut heals
     well(world)
 
 
-def test_an_elector_that_hears_nothing_does_not_topple_the_coordinator() -> None:
+def test_elector_that_receives_nothing_does_not_depose_the_coordinator() -> None:
     world = settled()
     first = leader(world)
-    deaf = next(n for n in world.rules.election.electors if n != first)
-    world.network.cut |= {(n, deaf) for n in others(world, deaf)}
+    isolated = next(n for n in world.rules.election.electors if n != first)
+    world.network.cut |= {(n, isolated) for n in others(world, isolated)}
     world.run(world.now + 20 * SECOND)
     assert leader(world) == first
     assert len(world.elected) == 1
 
 
-def test_an_elector_cut_off_from_the_coordinator_alone_does_not_topple_it() -> None:
+def test_elector_cut_off_only_from_the_coordinator_does_not_depose_it() -> None:
     world = settled()
     first = leader(world)
     other = next(n for n in world.rules.election.electors if n != first)
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_electors_killed_in_the_middle_of_a_grant_lose_none_that_was_told(
+def test_electors_killed_while_granting_lose_no_announced_grant(
     seed: int,
 ) -> None:
     world = settled(seed=seed, write=20_000)
@@ -189,7 +189,7 @@
     world.request("n5", "up")
     world.run(
         world.now + 3_000 * (1 + seed * 4)
-    )  # before the write, during it, after it, before the answers
+    )  # before, during and after the write, and before the answers
     for name in world.rules.election.electors:
         world.kill(name)
     for name in world.rules.election.electors:
@@ -203,7 +203,7 @@
     well(world)
 
 
-def test_all_electors_restarted_with_their_stores_go_on_from_them() -> None:
+def test_electors_restarted_with_their_stores_keep_the_state() -> None:
     world = settled()
     world.command("n4", "c", "open", "fire")
     assert world.run_until(lambda: "go" in world.states("c"), SECOND)
@@ -214,14 +214,12 @@
     assert world.run_until(lambda: world.coordinator() is not None, 4 * SECOND)
     assert (
         world.now - began >= 1.9 * SECOND
-    )  # nobody votes before a whole lease: the promises are forgotten
+    )  # no elector votes for one lease after its start, as leases are not stored
     assert world.incident("fire") is not None
     well(world)
 
 
-def test_all_electors_restarted_without_stores_begin_anew_above_every_term_that_a_node_remembers() -> (
-    None
-):
+def test_electors_restarted_without_stores_start_empty_above_every_known_term() -> None:
     world = settled()
     world.kill(leader(world))  # a second term
     world.run(world.now + 5 * SECOND)
@@ -237,10 +235,10 @@
     world.run(world.now + SECOND)
     assert (
         world.states("up")[-1] == "go"
-    )  # what all have lost is lost: the page says so
+    )  # state that all electors have lost cannot be recovered, as documented
 
 
-def test_an_elector_without_its_store_counts_only_once_a_majority_of_others_has_told_it() -> (
+def test_elector_without_its_store_counts_only_once_a_majority_of_others_has_reported() -> (
     None
 ):
     world = settled()
@@ -250,17 +248,17 @@
     world.kill(lost, lose_store=True)
     world.start(lost)
     world.run(world.now + 20 * SECOND)
-    assert world.coordinator() is None  # only one other holds anything
+    assert world.coordinator() is None  # only one other elector has a store
     world.start(third)
     assert world.run_until(lambda: world.coordinator() is not None, 6 * SECOND)
     well(world)
 
 
-def test_operators_at_a_majority_may_declare_gone_what_the_rest_holds() -> None:
+def test_operators_at_a_majority_may_declare_the_state_of_the_others_lost() -> None:
     world = World(6, 3)
     world.kill("n2")
     world.run(8 * SECOND)
-    assert world.coordinator() is None  # the third might hold something
+    assert world.coordinator() is None  # the third elector may hold a newer state
     for name in ("n0", "n1"):
         world.run(world.now + 3 * SECOND)
         assert world.coordinator() is None  # one declaration is not enough
@@ -270,9 +268,7 @@
     assert world.run_until(lambda: world.coordinator() is not None, 6 * SECOND)
 
 
-def test_with_more_than_a_minority_of_stores_lost_what_any_still_holds_is_kept() -> (
-    None
-):
+def test_state_in_any_intact_store_is_kept_when_more_than_a_minority_is_lost() -> None:
     world = settled()
     world.command("n4", "c", "open", "fire")
     assert world.run_until(lambda: "go" in world.states("c"), SECOND)
@@ -300,7 +296,7 @@
     well(world)
 
 
-def test_an_incident_halts_what_is_being_made_and_stops_what_is_asked_for_in_its_scope_alone() -> (
+def test_incident_revokes_active_changes_and_defers_requests_in_its_scope_only() -> (
     None
 ):
     world = settled()
@@ -330,9 +326,7 @@
     well(world)
 
 
-def test_an_incident_is_in_force_only_once_a_grant_that_is_under_way_cannot_begin() -> (
-    None
-):
+def test_incident_is_in_force_only_once_a_delayed_grant_can_no_longer_start() -> None:
     world = settled()
     world.network.slow[leader(world), "n5"] = 600_000
     world.request("n5", "up")
@@ -347,7 +341,9 @@
     well(world)
 
 
-def test_a_grant_whose_news_was_lost_is_not_given_once_an_incident_is_open() -> None:
+def test_grant_whose_message_was_lost_is_not_repeated_once_an_incident_is_open() -> (
+    None
+):
     world = settled()
     cut = (leader(world), "n5")
     world.network.cut.add(cut)
@@ -358,7 +354,7 @@
     world.network.cut.discard(cut)
     world.run(
         world.now + 900_000
-    )  # asked for again, before the next news of the incident and its force
+    )  # repeated before the next notification of the incident, and before it is in force
     assert world.states("up") == []
     machine = world.sites["n5"].machine
     assert machine is not None
@@ -366,7 +362,7 @@
     well(world)
 
 
-def test_two_incidents_with_crossing_scopes_both_hold_until_both_are_closed() -> None:
+def test_incidents_with_overlapping_scopes_stop_changes_until_both_are_closed() -> None:
     world = settled()
     world.command("n3", "c1", "open", "north", "region=north")
     world.command("n4", "c2", "open", "tier", "tier=front,zone=a")
@@ -386,7 +382,7 @@
     well(world)
 
 
-def test_an_emergency_halts_what_it_conflicts_with_and_waits_for_it() -> None:
+def test_emergency_revokes_conflicting_changes_and_waits_for_their_end() -> None:
     world = settled()
     world.request("n5", "up")
     world.run(world.now + SECOND)
@@ -401,7 +397,7 @@
     well(world)
 
 
-def test_a_thousand_requests_at_once_are_all_answered_at_once() -> None:
+def test_thousand_simultaneous_requests_are_all_answered_within_a_second() -> None:
     world = settled(12)
     began = world.now
     for i in range(1_000):
@@ -428,7 +424,7 @@
     well(world)
 
 
-def test_who_asks_twice_is_told_the_same() -> None:
+def test_repeated_requests_and_commands_get_the_same_answer() -> None:
     world = settled()
     for _ in range(2):
         world.request("n5", "up")
@@ -445,13 +441,15 @@
     well(world)
 
 
-def test_the_turn_goes_by_the_first_request_and_what_is_over_stays_over() -> None:
+def test_queue_is_in_order_of_first_request_and_ended_changes_are_not_granted_again() -> (
+    None
+):
     world = settled()
     world.request("n5", "up", duration_us=3 * SECOND)
     world.run(world.now + SECOND // 2)
     world.request("n3", "first", wait_us=20 * SECOND, duration_us=SECOND)
     world.run(world.now + SECOND // 2)
-    for i in range(20):  # somebody who asks all the time, in between
+    for i in range(20):  # another node that keeps requesting meanwhile
         world.at(
             world.now + i * SECOND // 5, partial(world.request, "n4", f"pushing{i}")
         )
@@ -459,7 +457,9 @@
     assert not any("go" in world.states(f"pushing{i}") for i in range(20))
     world.kill("n5")
     world.start("n5")
-    world.request("n5", "up")  # a process that knows nothing of its earlier life
+    world.request(
+        "n5", "up"
+    )  # the new process knows nothing of the earlier incarnation
     world.run(world.now + SECOND)
     assert world.states("up")[-1] == "no"
     assert "under another id" in last(world, "up")
@@ -504,7 +504,7 @@
     well(world)
 
 
-def test_a_lossy_world_with_late_and_double_datagrams_stays_right() -> None:
+def test_invariants_hold_with_lost_delayed_and_duplicated_datagrams() -> None:
     world = World(8, 5, 5)
     world.network.loss, world.network.duplicate, world.network.jitter = 0.2, 0.3, 50_000
     for i in range(60):
@@ -535,7 +535,7 @@
     well(world)
 
 
-def test_an_elector_that_lost_its_store_gets_a_large_state_in_parts_while_changes_go_on() -> (
+def test_elector_that_lost_its_store_receives_a_large_snapshot_while_changes_continue() -> (
     None
 ):
     world = settled()
@@ -566,7 +566,7 @@
         )
     world.run(
         world.now + 6 * SECOND
-    )  # two of them to come back, and the rest while changes go on
+    )  # two seconds for the recovery, and the rest while changes continue
     machine, other = world.sites[lost].machine, world.sites[first].machine
     assert machine is not None
     assert machine.elector is not None
@@ -691,25 +691,31 @@
             parse_scope(bad)
 
 
-def test_an_elector_that_recovered_votes_for_nobody_with_less_than_it_heard_of() -> (
+def test_recovered_elector_votes_for_no_candidate_with_an_older_state_than_reported() -> (
     None
 ):
     rules = rules_of(["n0", "n1", "n2"]).election
     elector = Elector("n1", rules, FreezeState(), 1, 0, None)
     now = rules.lease_us + rules.candidacy_jitter_us
-    hello = next(a.message for a in elector.tick(now) if isinstance(a, Send))
-    assert isinstance(hello, RecoveryRequest)
+    recovery_request = next(a.message for a in elector.tick(now) if isinstance(a, Send))
+    assert isinstance(recovery_request, RecoveryRequest)
     elector.receive(
         now,
         "n0",
-        RecoveryResponse(hello.nonce - 1, 9, StateVersion(9, 9), False, False),
-    )  # to an earlier question
+        RecoveryResponse(
+            recovery_request.nonce - 1, 9, StateVersion(9, 9), False, False
+        ),
+    )  # answers an earlier request
     elector.receive(
-        now, "n0", RecoveryResponse(hello.nonce, 5, StateVersion(5, 9), False, False)
+        now,
+        "n0",
+        RecoveryResponse(recovery_request.nonce, 5, StateVersion(5, 9), False, False),
     )
     assert elector.state_lost
     elector.receive(
-        now, "n2", RecoveryResponse(hello.nonce, 5, StateVersion(5, 8), False, False)
+        now,
+        "n2",
+        RecoveryResponse(recovery_request.nonce, 5, StateVersion(5, 8), False, False),
     )
     assert not elector.state_lost
     assert elector.term == 5
@@ -724,12 +730,12 @@
             if isinstance(a, Send) and isinstance(a.message, VoteResponse)
         ]
 
-    assert vote(5, (5, 9)) == [False]  # it may have voted in this term
+    assert vote(5, (5, 9)) == [False]  # the elector may have voted in this term
     assert vote(6, (5, 8)) == [False]
     assert vote(7, (5, 9)) == [True]
 
 
-def test_an_answer_from_before_a_lease_makes_no_majority() -> None:
+def test_ack_older_than_a_lease_does_not_count_towards_a_majority() -> None:
     rules = rules_of([f"n{i}" for i in range(5)]).election
     elector = Elector("n0", rules, FreezeState(), 1, 0, None)
     elector.state_lost = False
@@ -750,12 +756,12 @@
     elector.receive(later, "n2", HeartbeatAck(1, later, held, held))
     assert (
         elector.committed_version < held
-    )  # n1 may have been restarted since, without its store
+    )  # n1 may have been restarted without its store since its ack
     elector.receive(later, "n3", HeartbeatAck(1, later, held, held))
     assert elector.committed_version == held
 
 
-def test_a_broken_record_is_said_and_a_broken_datagram_counted() -> None:
+def test_malformed_record_raises_and_malformed_datagrams_are_counted() -> None:
     rules = rules_of(["n0", "n1", "n2"])
     with pytest.raises(FreezeRecordError, match="not an elector's record"):
         Elector("n0", rules.election, FreezeState(), 1, 0, b"\x00garbage")
