--- a/loadbalancer/freeze/coordinator.py
+++ b/loadbalancer/freeze/coordinator.py
@@ -137,9 +137,9 @@
         committed = self.elector.committed_version
         committed_grants = pop_committed(term.pending_grants, committed)
         sends = self.grants.announce_committed(term, committed_grants)
-        sends += self.incidents.committed_replies(term)
+        sends += self.incidents.pop_committed_replies(term)
         for grant_id in pop_committed(term.pending_grant_ends, committed):
-            term.forget_grant(grant_id)
+            term.drop_grant(grant_id)
         for incident_id in pop_committed(term.pending_in_force, committed):
             self.context.log_event("incident enforced", id=incident_id)
         for incident_id in pop_committed(term.pending_openings, committed):
--- a/loadbalancer/freeze/coordinator_context.py
+++ b/loadbalancer/freeze/coordinator_context.py
@@ -16,7 +16,7 @@
 
 @dataclass
 class RequestCounters:
-    """Counters of answers to requests since the process started; published under the attribute names.
+    """Counters of answers to requests since the start; published under the attribute names.
 
     Attributes:
         asked: Requests received.
--- a/loadbalancer/freeze/elector.py
+++ b/loadbalancer/freeze/elector.py
@@ -228,9 +228,10 @@
         return self.log.version
 
     def declare_reset(self, now: int) -> None:
-        """Records an operator's declaration that the replicated state is lost for good.
+        """Records an operator's declaration that the state of the other electors is lost for good.
 
-        Electors that lost their stores start with an empty state once a majority has such a declaration.
+        It has an effect only while this elector's own state is lost. Such electors resume without the
+        others once a majority of electors has a declaration.
         """
         self._advance_clock(now)
         self.recovery.reset_declared = self.recovery.reset_declared or self.state_lost
@@ -302,11 +303,11 @@
         return Send(sender, response, self.saves.latest_unconfirmed())
 
     def _recover(self) -> list[Action]:
-        """Asks the other electors for their state, or starts empty if no surviving state can be missed."""
+        """Asks the other electors for their state, or resumes if no surviving state can be missed."""
         recovery = self.recovery
         if self.now < recovery.next_request_at:
             return []
-        if recovery.may_start_empty():
+        if recovery.may_resume():
             return self._finish_recovery(
                 "state reset",
                 "all other electors have reported their state, or operators have declared it lost",
--- a/loadbalancer/freeze/incidents.py
+++ b/loadbalancer/freeze/incidents.py
@@ -112,8 +112,8 @@
         reply = OperatorCommandReply(command_id, self.context.committed, accepted, text)
         return Send(node, reply)
 
-    def committed_replies(self, term: LeaderTerm) -> list[Send]:
-        """Returns the replies to commands whose changes are committed by now."""
+    def pop_committed_replies(self, term: LeaderTerm) -> list[Send]:
+        """Removes and returns the replies to commands whose changes are committed."""
         ready = {
             command_id: reply
             for command_id, reply in term.pending_replies.items()
--- a/loadbalancer/freeze/leader_term.py
+++ b/loadbalancer/freeze/leader_term.py
@@ -81,7 +81,7 @@
     notified_version: StateVersion = INITIAL_VERSION
     next_notification_at: int = 0
 
-    def forget_grant(self, grant_id: str) -> None:
+    def drop_grant(self, grant_id: str) -> None:
         """Drops everything about a grant whose end is committed."""
         self.granted_at.pop(grant_id, None)
         self.issued_at.pop(grant_id, None)
--- a/loadbalancer/freeze/recovery.py
+++ b/loadbalancer/freeze/recovery.py
@@ -4,8 +4,8 @@
 until, one lease after its start at the earliest, one of these conditions holds:
 
 * A majority of *other* electors has reported its terms and versions. At least one of them took part in every
-  decision that this elector may have forgotten. This is the recovery protocol of Viewstamped Replication
-  Revisited (Liskov, Cowling 2012).
+  decision of which this elector may have lost the record. This is the recovery protocol of Viewstamped
+  Replication Revisited (Liskov, Cowling 2012).
 * All other electors have answered, whatever they hold. This covers a first start, and the loss of more than a
   minority of stores, after which the state that any elector still holds is kept.
 * Operators have declared at a majority of electors that the state of the others is lost for good.
@@ -82,7 +82,7 @@
         intact_count = sum(not answer.state_lost for answer in self.responses.values())
         return intact_count >= self.rules.majority
 
-    def may_start_empty(self) -> bool:
+    def may_resume(self) -> bool:
         """Whether the elector may resume without a majority of intact stores.
 
         This is the case once all other electors have answered, so that no surviving state can be missed, or
--- a/loadbalancer/freeze/rules.py
+++ b/loadbalancer/freeze/rules.py
@@ -155,7 +155,7 @@
     )
 
     def local_duration_us(self, duration_us: int) -> int:
-        """Returns a duration for this node's clock that ends before the coordinator's `duration_us` does.
+        """Returns a duration for this node's clock that ends no later than the coordinator's `duration_us`.
 
         It is shorter by the maximum drift between the two clocks.
         """
--- a/loadbalancer/freeze/state.py
+++ b/loadbalancer/freeze/state.py
@@ -20,7 +20,7 @@
 )
 
 MAX_INCIDENTS = 32  # open at the same time
-MAX_GRANTS = 512  # current at the same time
+MAX_GRANTS = 512  # not ended at the same time
 MAX_ENDED_IDS = 512  # ids of ended grants that are kept, to recognize repeated requests
 MAX_IDS_PER_COMMAND = 8  # grant ids in one command
 MAX_NOTICE_REASON_CHARS = 80  # longest reason in an `IncidentNotice`
