--- a/loadbalancer/policy/call_tracker.py
+++ b/loadbalancer/policy/call_tracker.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.policy.admission import Admission
 from loadbalancer.policy.api import NEVER_RAN, Outcome
-from loadbalancer.policy.concurrency_limit import FAILURES_ARE_OVERLOAD_RATIO, WINDOW_US
+from loadbalancer.policy.concurrency_limit import OVERLOAD_FAILURE_RATIO, WINDOW_US
 from loadbalancer.policy.endpoint import Endpoint
 from loadbalancer.policy.outlier_detection import OutlierDetector
 from loadbalancer.policy.request import Request
@@ -115,11 +115,7 @@
         limit = self.limit
         lost = 0.0 if answered else 1.0
         limit.lost_ratio += SUBSET_SMOOTHING * (lost - limit.lost_ratio)
-        if (
-            failed
-            and request is not None
-            and limit.lost_ratio > FAILURES_ARE_OVERLOAD_RATIO
-        ):
+        if failed and request is not None and limit.lost_ratio > OVERLOAD_FAILURE_RATIO:
             limit.count_failure(now, request.class_index)
 
     def close_window(self, now: int) -> None:
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -18,7 +18,7 @@
 def controller(allowance: int = 100_000, members: int = 5, **state) -> ConcurrencyLimit:
     adaptive = ConcurrencyLimit([allowance], 1000, Random(1), 0)
     adaptive.resize(members, 1)
-    adaptive.best_in_flight = float(state.get("usual_in_flight", 0.0))
+    adaptive.last_good_in_flight = float(state.get("usual_in_flight", 0.0))
     for name, value in state.items():
         setattr(adaptive, name, value)
     return adaptive
@@ -38,7 +38,7 @@
     adaptive = controller(allowance)
     run_pass(adaptive, rtt, 1000)
     adaptive.window_start = 1000
-    adaptive.best_in_flight = float(state.get("usual_in_flight", 0.0))
+    adaptive.last_good_in_flight = float(state.get("usual_in_flight", 0.0))
     for name, value in state.items():
         setattr(adaptive, name, value)
     return adaptive
@@ -205,7 +205,7 @@
         adaptive, 50_000, 1000 + 200 * WINDOW_US
     )  # it was of use: the usual is what is carried now
     assert adaptive.limit > 20
-    assert adaptive.best_in_flight == adaptive.usual_in_flight
+    assert adaptive.last_good_in_flight == adaptive.usual_in_flight
 
 
 def test_pass_recurs_after_a_jittered_interval_and_keeps_the_limit():
@@ -327,13 +327,13 @@
 def test_what_was_learned_moves_with_what_the_servers_are_good_for():
     adaptive = after_pass(limit=20.0, usual_in_flight=8.0)
     adaptive.rescale(10.0)
-    assert (adaptive.limit, adaptive.usual_in_flight, adaptive.best_in_flight) == (
+    assert (adaptive.limit, adaptive.usual_in_flight, adaptive.last_good_in_flight) == (
         20.0,
         8.0,
         8.0,
     )  # the first figure says nothing of a change
     adaptive.rescale(5.0)
-    assert (adaptive.limit, adaptive.usual_in_flight, adaptive.best_in_flight) == (
+    assert (adaptive.limit, adaptive.usual_in_flight, adaptive.last_good_in_flight) == (
         10.0,
         4.0,
         4.0,
@@ -343,7 +343,7 @@
     assert (
         adaptive.limit,
         adaptive.usual_in_flight,
-        adaptive.best_in_flight,
+        adaptive.last_good_in_flight,
     ) == pytest.approx((20.0, 8.0, 8.0))
 
 
--- a/tests/test_retry_storm.py
+++ b/tests/test_retry_storm.py
@@ -17,7 +17,7 @@
     Outcome,
 )
 from loadbalancer.policy.retry_storm import (
-    LEAST_RATE,
+    MIN_RATE_PER_S,
     RECOVERY_TIME_US,
     RetryStormGuard,
     RetryStormRules,
@@ -160,7 +160,7 @@
     crowd.play(20, 1e9)
     crowd.play(5, 0)
     log = crowd.play(5, 0)
-    assert 0.3 * LEAST_RATE * 5 < sum(r[3] for r in log) < 4 * LEAST_RATE * 5
+    assert 0.3 * MIN_RATE_PER_S * 5 < sum(r[3] for r in log) < 4 * MIN_RATE_PER_S * 5
 
 
 def test_a_storm_of_one_class_leaves_the_others_alone():
@@ -284,7 +284,7 @@
         assert judge.rules.repeat_share == 0.05
         # A refusal carries the judge's advice, within what the platform allows.
         judge.active, judge.rate = True, 1.0
-        judge.admitted_parts = [0.0] * len(judge.priority_weights)
+        judge.admitted_fractions = [0.0] * len(judge.priority_weights)
         status, headers, _ = await bench.once(call())
         assert status == 503
         assert 0 < float(headers["retry-after"]) <= 2
@@ -325,4 +325,4 @@
     ]
     node.update_settings(1, replace(node.context.settings, classes=classes))
     assert judge.priority_weights == [1.0, 2.0, 3.0]
-    assert judge.by_weight == [2, 1, 0]
+    assert judge.classes_by_weight == [2, 1, 0]
