--- a/loadbalancer/policy/__init__.py
+++ b/loadbalancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision on a request: pure modules without I/O, clock or unseeded randomness."""
+"""The load-balancing policy: modules that decide on requests without I/O, a clock or unseeded randomness."""
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,11 +1,13 @@
-"""The policy of one node: joins the rules that decide on each request, and has none of its own.
-
-A request passes admission (`admission`, `concurrency_limit`) or waits below the first tier
-(`request_queue`). Its attempts go to members of the instance's subset (`subset`) by two random choices
-(`endpoint_selection`), with care for cold endpoints (`slow_start`) and without those that fail
-(`outlier_detection`). A failed attempt may be repeated (`retry_policy`). The interface, with settings,
-events and actions, is in `loadbalancer/policy/api.py`; docs/design.md gives the reasons. Times are integer
-microseconds.
+"""The load-balancing policy of one node: combines the rules that decide on each request.
+
+Every rule is a module of its own. At the first tier a request passes admission (`admission`,
+`concurrency_limit`); at the tiers below it waits at the limit (`request_queue`). Its attempts go to members
+of the instance's subset (`subset`), picked by two random choices (`endpoint_selection`). Cold endpoints
+receive less traffic (`slow_start`), and failing ones receive none (`outlier_detection`). A failed
+attempt may be repeated (`retry_policy`).
+
+The interface with its settings, events and actions is in `loadbalancer/policy/api.py`; docs/design.md gives
+the reasons. Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -53,7 +55,7 @@
 
 
 class Balancer:
-    """The decisions of one instance, from its own traffic alone. Implements `api.Events`."""
+    """Makes the decisions of one instance, from its own traffic alone. Implements `api.Events`."""
 
     def __init__(
         self,
@@ -62,13 +64,13 @@
         actions: Actions,
         zone_policy: ZoneFailoverPolicy | None = None,
     ) -> None:
-        """Joins the rules. Nothing is asked of the host before `start`.
+        """Creates and connects the rules. No action of the host is called before `start`.
 
         Args:
             settings: The settings until the first `update_settings`.
-            seed: Of all chance; the same seed and events lead to the same actions.
-            actions: The host's.
-            zone_policy: Decides between zones, where operators gave rules for them.
+            seed: Seed of all random numbers; the same seed and events lead to the same actions.
+            actions: The actions of the host.
+            zone_policy: Decides between zones; None if operators have configured no rules for zones.
         """
         self.context = context = PolicyContext(settings, seed, actions)
         allowances = round_trip_allowances(settings)
@@ -95,7 +97,7 @@
         self.requests = self.dispatcher.requests
 
     def create_dispatcher(self) -> RequestDispatcher:
-        """The life of a request by the joined rules; a variant of the policy may have another one."""
+        """Returns the dispatcher of requests; a variant of the policy may override it."""
         return RequestDispatcher(
             self.context, self.selector, self.calls, self.retries, self.queue
         )
@@ -105,7 +107,7 @@
     def start(self, now: int) -> None:
         """See `api.Events`."""
         self.limit.start_measurement(now)
-        self.calls.window_at = now
+        self.calls.window_closed_at = now
         self.admission.quotas.start(now)
         if self.context.settings.list_must_be_polled:
             self.context.actions.watch(True)
@@ -115,8 +117,8 @@
         old, self.context.settings = self.context.settings, settings
         allowances = round_trip_allowances(settings)
         unchanged = [
-            index < len(old.classes) and each == old.classes[index]
-            for index, each in enumerate(settings.classes)
+            index < len(old.classes) and request_class == old.classes[index]
+            for index, request_class in enumerate(settings.classes)
         ]
         self.limit.update_classes(allowances, unchanged, settings.max_open_requests)
         self.latency.update_classes(allowances, unchanged)
@@ -128,7 +130,7 @@
         retry_storm = self.admission.retry_storm
         if retry_storm is not None and old.classes != settings.classes:
             retry_storm.update_classes(
-                [each.priority_weight for each in settings.classes]
+                [request_class.priority_weight for request_class in settings.classes]
             )
         self.updates.refill(now)
 
@@ -169,7 +171,13 @@
         self.updates.refill(now)
 
     def sweep_list(self) -> bool:
-        """Sweeps some endpoints out of the list, and sets a timer if more are to be looked at."""
+        """Removes a few endpoints that the last full list does not name.
+
+        If others are left to check, it sets a timer for the next few.
+
+        Returns:
+            Whether other endpoints are left to check.
+        """
         more = self.subset.endpoint_list.sweep()
         if more:
             tick = self.context.settings.tick_us
@@ -284,8 +292,8 @@
     ) -> None:
         """See `api.Events`.
 
-        The endpoint's work is done: slow readers of long answers would fill the limit, and their time would
-        count as overload.
+        The call ends here for the limit, because the endpoint's work is done. Otherwise slow readers of long
+        answers would use up the limit, and their reading time would count as overload.
         """
         opened = self.requests.get(request)
         endpoint = self.table.endpoints.get(server)
@@ -298,7 +306,8 @@
         ):
             return
         if opened.time_when_complete:
-            self.request_complete(now, request)  # answered before all of it had come
+            # It was answered before its body was complete.
+            self.request_complete(now, request)
         opened.response_started = True
         self.table.off_limit_attempts[request] = endpoint
         self.calls.end(now, endpoint, opened, Outcome.OK, latency)
@@ -308,9 +317,9 @@
     def health_checked(
         self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]
     ) -> None:
-        """Not used: an ejected endpoint is tried with a call."""
+        """Ignored: an ejected endpoint is tried with a call instead."""
 
-    # ---- events: the rest ----
+    # ---- events: timers, peers and metrics ----
 
     def timer(self, now: int, token: int) -> None:
         """See `api.Events`."""
@@ -327,10 +336,10 @@
                 self.dispatcher.finish(waited, retriable=True)
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Not used: an instance decides from its own traffic."""
+        """Ignored: an instance decides from its own traffic alone."""
 
     def stats(self) -> dict[str, float]:
-        """Figures for operators, by the names of the on-call page."""
+        """Returns the metrics for operators, by the names that the on-call page uses."""
         limit, zone_policy = self.limit, self.zones.policy
         retry_storm = self.admission.retry_storm
         return {
@@ -354,7 +363,7 @@
         }
 
     def decide_zones(self, now: int) -> None:
-        """Has the zone policy decide anew, if it is time."""
+        """Lets the zone policy decide again if a decision is due; in a panic all ejected endpoints return."""
         decided = self.zones.decide(
             now,
             self.subset.members,
--- a/loadbalancer/policy/call_tracker.py
+++ b/loadbalancer/policy/call_tracker.py
@@ -1,4 +1,4 @@
-"""Counts the calls of endpoints, and hands their latency and outcome to the rules that learn from them."""
+"""Counts the calls of endpoints, and passes their latency and outcome to the rules that adapt to them."""
 
 from __future__ import annotations
 
@@ -11,19 +11,27 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.policy.statistics import SUBSET_SMOOTHING
 
-RTT_RATIO_MOST = 8.0  # a round trip counts as so many times the mean at most
-# A member so many times slower than its kind tells nothing of the limit
+# In the endpoint averages a round trip counts as at most this multiple of the mean of its class.
+MAX_RTT_RATIO = 8.0
+# A member this many times slower than its kind gives no sample for the concurrency limit.
 OUTLIER_RATIO = 2.0
+# Outcomes that do not count as a failure of the endpoint.
 NO_FAILURE = (Outcome.OK, Outcome.TIMEOUT, Outcome.REJECTED)
 
 
 class CallTracker:
-    """The start and the end of each call that an endpoint works on."""
+    """Records the start and the end of each call that an endpoint works on."""
 
     def __init__(
         self, slow_start: SlowStart, outliers: OutlierDetector, admission: Admission
     ) -> None:
-        """Joins the rules that learn from calls."""
+        """Combines the rules that adapt to calls.
+
+        Args:
+            slow_start: Limits the traffic of cold endpoints.
+            outliers: Ejects failing endpoints.
+            admission: Adjusts the shedding of requests over quota.
+        """
         self.slow_start = slow_start
         self.outliers = outliers
         self.admission = admission
@@ -33,14 +41,21 @@
         self.zones = slow_start.zones
         self.spill = self.subset.spill
         self.latency = outliers.latency
-        self.window_at = 0  # when the last window was closed
+        self.window_closed_at = 0  # When the last window was closed, in microseconds.
 
     def start(self, now: int, endpoint: Endpoint) -> None:
-        """Counts a call that an endpoint begins. One with an incomplete body takes no place until then."""
+        """Counts a call that starts at an endpoint.
+
+        A request with an incomplete body uses no slot: its call starts when the body is complete.
+
+        Args:
+            now: The current time in microseconds.
+            endpoint: The endpoint that receives the call.
+        """
         if endpoint.in_flight == 0:
             endpoint.last_progress_at = now
         endpoint.in_flight += 1
-        endpoint.reported_queue += 1  # until it reports again
+        endpoint.reported_queue += 1  # Until the endpoint reports again.
         attempts = self.zones.attempts_by_zone
         attempts[endpoint.zone] = attempts.get(endpoint.zone, 0) + 1
         if not endpoint.outside_limit:
@@ -55,14 +70,14 @@
         outcome: Outcome,
         latency: int,
     ) -> None:
-        """Counts a call's end.
+        """Counts the end of a call.
 
         Args:
-            now: The time in microseconds.
-            endpoint: Where the call ended.
-            request: Its request, if that is still open.
-            outcome: How it ended.
-            latency: How long it took, in microseconds.
+            now: The current time in microseconds.
+            endpoint: The endpoint of the call.
+            request: The call's request; None if it is no longer open.
+            outcome: How the call ended.
+            latency: The duration of the call, in microseconds.
         """
         endpoint.in_flight -= 1
         endpoint.reported_queue = max(0.0, endpoint.reported_queue - 1)
@@ -70,7 +85,7 @@
             self.limit.count_calls(now, -1)
         endpoint.last_progress_at = now
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            # The client may have left during a trial: another one may follow.
+            # The client may have disconnected during a trial, so another trial may follow.
             endpoint.trial_pending = False
             return
         answered = outcome == Outcome.OK
@@ -78,9 +93,10 @@
             self.add_latency(now, endpoint, request.class_index, answered, latency)
         failed = outcome not in NO_FAILURE
         self.outliers.count(endpoint, failed)
-        # Connections refused by a zone that is gone would halve the limit that others bear.
+        # Connections that are refused by a failed zone would halve the limit, although other zones can take
+        # the calls.
         if not endpoint.ejected and outcome not in NEVER_RAN:
-            self.add_loss(now, request, answered, failed)
+            self.record_loss(now, request, answered, failed)
         self.outliers.judge(now, endpoint, answered, failed)
 
     def add_latency(
@@ -91,26 +107,41 @@
         answered: bool,
         latency: int,
     ) -> None:
-        """Takes a round trip, or a time-out, into everything that learns from latency."""
+        """Passes a round trip, or the timeout of a call, to every rule that adapts to latency.
+
+        Args:
+            now: The current time in microseconds.
+            endpoint: The endpoint of the call.
+            class_index: The class of its request.
+            answered: Whether the call was answered; otherwise it timed out.
+            latency: The duration of the call, in microseconds.
+        """
         if endpoint.own_latency.value < OUTLIER_RATIO and not endpoint.ejected:
             self.limit.sample(now, class_index, latency, answered)
-        ratio = min(latency / self.latency.mean_rtt[class_index], RTT_RATIO_MOST)
+        ratio = min(latency / self.latency.mean_rtt[class_index], MAX_RTT_RATIO)
         endpoint.own_latency.add(ratio / endpoint.kind_latency.value)
         endpoint.kind_latency.add(ratio)
         target_ratio = latency / self.limit.target_rtt[class_index]
         self.spill.add_latency(endpoint.zone, target_ratio)
         self.admission.add_latency(target_ratio)
         self.latency.add(class_index, latency)
-        if now - self.window_at >= WINDOW_US:
+        if now - self.window_closed_at >= WINDOW_US:
             self.close_window(now)
 
-    def add_loss(
+    def record_loss(
         self, now: int, request: Request | None, answered: bool, failed: bool
     ) -> None:
-        """Smooths the share of lost calls; failures count as overload only while many are lost.
+        """Updates the smoothed fraction of lost calls, and counts failures as overload while it is high.
+
+        A high fraction means that the tiers below have lost endpoints; if errors added no sample, the limit
+        would not fall. A lower fraction says nothing about load, because even idle endpoints may return
+        faulty answers.
 
-        Then the tiers below have lost endpoints, and errors that add no sample would leave the limit where
-        it was. Fewer tell nothing of load: answers may come spoilt from endpoints at rest.
+        Args:
+            now: The current time in microseconds.
+            request: The call's request; None if it is no longer open.
+            answered: Whether the call was answered.
+            failed: Whether the call counts as a failure of the endpoint.
         """
         limit = self.limit
         lost = 0.0 if answered else 1.0
@@ -119,12 +150,12 @@
             limit.count_failure(now, request.class_index)
 
     def close_window(self, now: int) -> None:
-        """Has the slower rules learn, at most once a window."""
-        span = now - self.window_at
-        self.window_at = now
-        self.slow_start.learn(now, span)
+        """Updates the rules that adapt once per window."""
+        window_us = now - self.window_closed_at
+        self.window_closed_at = now
+        self.slow_start.learn(now, window_us)
         self.reports.average(self.subset.members)
-        # The list may have changed since, and cold endpoints are warmer.
+        # The endpoint list may have changed since the last window, and cold endpoints have warmed up further.
         self.subset.update_capacity(now)
         self.admission.priority.update()
         if self.spill.enabled and self.subset.local and not self.zones.decision.shares:
--- a/loadbalancer/policy/class_latency.py
+++ b/loadbalancer/policy/class_latency.py
@@ -1,4 +1,4 @@
-"""Mean round-trip time of each request class over the whole subset, in microseconds."""
+"""Mean round-trip time of each request class over the entire subset, in microseconds."""
 
 from __future__ import annotations
 
@@ -12,12 +12,22 @@
 
 
 class ClassLatency:
-    """The mean round trip by class: half of what a round trip may use up, until it is measured."""
+    """The mean round-trip time of each class.
+
+    Until it is measured it is half of the time that a round trip may use up.
+
+    Attributes:
+        mean_rtt: Mean round-trip times by class, in microseconds.
+    """
 
     def __init__(self, allowances: Sequence[int]) -> None:
-        """Starts from the allowances of the classes, in microseconds."""
+        """Starts from the allowances.
+
+        Args:
+            allowances: By class, the round-trip time that may be used up, in microseconds.
+        """
         self.mean_rtt = [allowance / 2 for allowance in allowances]
-        self.running = [
+        self.running_means = [
             RunningMean(mean, MEAN_PRIOR_SAMPLES, SUBSET_SMOOTHING)
             for mean in self.mean_rtt
         ]
@@ -25,18 +35,23 @@
     def update_classes(
         self, allowances: Sequence[int], unchanged: Sequence[bool]
     ) -> None:
-        """Takes on other classes; those that are unchanged keep what was measured."""
-        for index, (allowance, same) in enumerate(
+        """Applies changed classes; unchanged ones keep their measured mean.
+
+        Args:
+            allowances: By class, the round-trip time that may be used up, in microseconds.
+            unchanged: By class, whether its index still stands for the same class.
+        """
+        for index, (allowance, is_unchanged) in enumerate(
             zip(allowances, unchanged, strict=True)
         ):
-            if not same:  # a new class is appended
+            if not is_unchanged:  # A new class is appended.
                 mean = allowance / 2
-                running = RunningMean(mean, MEAN_PRIOR_SAMPLES, SUBSET_SMOOTHING)
-                self.running[index : index + 1] = [running]
+                running_mean = RunningMean(mean, MEAN_PRIOR_SAMPLES, SUBSET_SMOOTHING)
+                self.running_means[index : index + 1] = [running_mean]
                 self.mean_rtt[index : index + 1] = [mean]
 
     def add(self, class_index: int, latency: int) -> None:
-        """Takes in one round trip, in microseconds."""
-        running = self.running[class_index]
-        running.add(latency)
-        self.mean_rtt[class_index] = running.value
+        """Adds one round trip, in microseconds, to the mean of its class."""
+        running_mean = self.running_means[class_index]
+        running_mean.add(latency)
+        self.mean_rtt[class_index] = running_mean.value
--- a/loadbalancer/policy/context.py
+++ b/loadbalancer/policy/context.py
@@ -1,4 +1,4 @@
-"""What the rules of one policy instance share."""
+"""The state that all rules of one policy instance share."""
 
 from __future__ import annotations
 
@@ -8,12 +8,19 @@
 
 
 class PolicyContext:
-    """The settings in force, the seeded source of chance, and the host's actions.
+    """The settings in force, the seeded random number generator, and the host's actions.
 
-    Every rule draws from the one source, so the same events lead to the same decisions.
+    All rules draw from the same generator, so the same seed and events lead to the same decisions.
     """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
+        """Starts with the first settings.
+
+        Args:
+            settings: The settings in force; `Balancer.update_settings` replaces them.
+            seed: Seed of all random numbers.
+            actions: The actions of the host.
+        """
         self.settings = settings
         self.rng = Random(seed)
         self.actions = actions
--- a/loadbalancer/policy/endpoint_table.py
+++ b/loadbalancer/policy/endpoint_table.py
@@ -59,7 +59,7 @@
             self.update(now, endpoint, listed)
             if endpoint.warming_until == 0:
                 endpoint.reported_queue = max(
-                    self.reports.usual, self.reports.mean_of_members
+                    self.reports.usual_queue, self.reports.mean_of_members
                 )
         return endpoint
 
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -1,4 +1,4 @@
-"""What is known of an open request: a record, without a rule."""
+"""The state of an open request. Times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 
 
 class Request:
-    """An open request. At most one attempt of it is out at a time.
+    """An open request. At most one of its attempts is in flight at a time.
 
     Attributes:
         id: The host's number of the request.
-        settings: The settings it came under, which hold until its end.
+        settings: The settings in force when it arrived, which apply until it ends.
         class_index: Its class, by the index in the settings.
-        idempotency: What a repeat of it does.
-        deadline: Until when an answer still has value, in microseconds.
-        attempts: Attempts that were sent.
-        pending_endpoint: Where an attempt is out, if one is.
-        executed_by: The first endpoint that may have run it.
-        executed_at: When that attempt was sent, in microseconds.
-        scope_ids: What its first endpoint stands for in each deduplication scope, by the scope's value.
-        response_started: Whether an answer flows to the client, so that no other attempt can follow.
+        idempotency: Whether it may be executed more than once.
+        deadline: The time until which an answer has value, in microseconds.
+        attempts: Number of attempts sent.
+        pending_endpoint: The endpoint of the attempt in flight, if there is one.
+        executed_by: The first endpoint that may have run it, if there is one.
+        executed_at: When the attempt was sent to that endpoint, in microseconds.
+        scope_ids: The id of its first endpoint's deduplication scope (all, zone, cell), indexed by the value
+            of `DeduplicationScope`.
+        response_started: Whether the response to the client has started, so that no retry can follow.
         sent_at: When the last attempt was sent, in microseconds.
-        time_when_complete: While its body is incomplete, the time in microseconds that it has from its
-            completion on; else 0.
-        not_replayable: Whether part of it is gone, so that it can't be sent again.
-        preferred_endpoints: Where its first attempt goes while one of them has capacity.
+        time_when_complete: While its body is incomplete, the time in microseconds that remains to it from the
+            completion of the body; else 0.
+        not_replayable: Whether part of its body is no longer available, so that it cannot be sent again.
+        preferred_endpoints: Endpoints for its first attempt, as far as one of them has capacity.
     """
 
     __slots__ = (
@@ -56,7 +57,7 @@
         idempotency: Idempotency,
         deadline: int,
     ) -> None:
-        """A request without an attempt; the arguments are described with the attributes."""
+        """Creates a request without an attempt. The attributes of the class describe the arguments."""
         self.id = request
         self.settings = settings
         self.class_index = class_index
@@ -74,7 +75,13 @@
         self.preferred_endpoints: Sequence[int] = ()
 
     def due_at(self, now: int) -> int:
-        """Until when an answer has value, in microseconds: all its time is left while it is incomplete."""
+        """Returns the time until which an answer has value, in microseconds.
+
+        While the body is incomplete, the request's time has not started to elapse.
+
+        Args:
+            now: The current time in microseconds.
+        """
         if self.time_when_complete:
             return now + self.time_when_complete
         return self.deadline
--- a/loadbalancer/policy/request_dispatch.py
+++ b/loadbalancer/policy/request_dispatch.py
@@ -1,4 +1,4 @@
-"""The life of an open request: each attempt, the retry that may follow it, and the one final answer."""
+"""Dispatch of open requests: the attempts, the retries that may follow, and the one final answer."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     record_rejection,
 )
 
-# A timer's token: its kind in the top byte, below it the request that waits.
+# A timer's token has its kind in the top byte and, for TIMER_QUEUE, the waiting request's number below it.
 TIMER_LIST, TIMER_QUEUE, TIMER_SWEEP = 1, 2, 3
 TOKEN_BITS = 56
 
 
 class RequestDispatcher:
-    """Sends open requests to endpoints, and answers them.
+    """Sends open requests to endpoints, retries them, and rejects or fails those that get no answer.
 
     Attributes:
-        requests: The open requests by number.
+        requests: The open requests by the host's number.
     """
 
     def __init__(
@@ -36,7 +36,15 @@
         retries: RetryBudget,
         queue: RequestQueue,
     ) -> None:
-        """Joins the rules that a request meets once it is admitted."""
+        """Combines the rules that apply to an admitted request.
+
+        Args:
+            context: The settings in force and the host's actions.
+            selector: Selects the endpoint of an attempt.
+            calls: Counts the calls of endpoints.
+            retries: The budget for retries.
+            queue: The queue of requests that wait at the limit, below the first tier.
+        """
         self.context = context
         self.selector = selector
         self.table = selector.table
@@ -49,7 +57,7 @@
         self.requests: dict[int, Request] = {}
 
     def attempt(self, now: int, request: Request) -> None:
-        """Sends the request to the endpoint selected for it, or answers it if there is none."""
+        """Sends the request to a selected endpoint; rejects or fails it if there is none."""
         endpoint = self.selector.select(now, request)
         if endpoint is None:
             self.finish(request, retriable=request.executed_by is None)
@@ -63,7 +71,7 @@
         else:
             self.calls.start(now, endpoint)
         if request.executed_by is None:
-            # The list may move the endpoint elsewhere before the request is repeated.
+            # The endpoint list may move the endpoint to another zone or cell before the request is repeated.
             request.scope_ids = (0, endpoint.zone, endpoint.cell)
         request.pending_endpoint = endpoint
         request.sent_at = now
@@ -78,7 +86,15 @@
         outcome: Outcome,
         final: bool,
     ) -> None:
-        """Closes a request that was answered; else retries it or gives its final answer."""
+        """Closes a request that has its final answer; otherwise retries, rejects or fails it.
+
+        Args:
+            now: The current time in microseconds.
+            request: The request whose attempt ended.
+            endpoint: The attempt's endpoint; None if it is no longer known.
+            outcome: How the attempt ended.
+            final: Whether nothing more is owed to the client, as after an answer that was passed on.
+        """
         answered = outcome == Outcome.OK
         if final or answered:
             if self.admission.retry_storm is not None:
@@ -94,7 +110,7 @@
     def retry(
         self, now: int, request: Request, endpoint: Endpoint | None, outcome: Outcome
     ) -> None:
-        """A further attempt after a failed one, if the retry policy allows it; else the final answer."""
+        """Sends another attempt after a failed one if the retry policy allows it; else rejects or fails."""
         record_execution(request, endpoint, outcome)
         if self.retries.spend(now, request):
             self.attempt(now, request)
@@ -102,7 +118,12 @@
             self.finish(request, retriable=client_may_retry(request))
 
     def finish(self, request: Request, retriable: bool) -> None:
-        """Gives the one final answer: a rejection only where the client's retry is known to do no harm."""
+        """Gives the one final answer.
+
+        Args:
+            request: The request, which is closed.
+            retriable: Whether a retry by the client does no harm. If so the request is rejected, else failed.
+        """
         del self.requests[request.id]
         if retriable:
             retry_after = record_rejection(request, self.admission.retry_storm)
@@ -111,7 +132,7 @@
             self.context.actions.fail(request.id)
 
     def enqueue(self, now: int, request: Request) -> None:
-        """Lets a request wait for a free slot, or rejects it."""
+        """Queues a request until a slot is free. Rejects it if the queue is full or no endpoint eligible."""
         if not self.subset.eligible or self.queue.is_full():
             self.admission.rejected += 1
             self.finish(request, retriable=True)
@@ -120,6 +141,6 @@
         self.context.actions.set_timer(wait, TIMER_QUEUE << TOKEN_BITS | request.id)
 
     def serve_queue(self, now: int) -> None:
-        """Sends the requests that waited, while calls may start."""
+        """Sends queued requests, in their order, while calls may start."""
         while (request := self.queue.next_admitted(now)) is not None:
             self.attempt(now, request)
--- a/loadbalancer/policy/settings.py
+++ b/loadbalancer/policy/settings.py
@@ -1,4 +1,4 @@
-"""What a policy instance is configured with. Times are integer microseconds."""
+"""The settings of a policy instance. Times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SettingsError(LoadBalancerError, ValueError):
-    """A value of the platform's settings that is missing, of another kind, or impossible."""
+    """A value of the platform's settings that is missing, of the wrong type, or impossible."""
 
     remedy: ClassVar[str] = (
         "give the named key of the settings a value of its kind and range, as the platform's own page has it"
@@ -21,9 +21,10 @@
 class Idempotency(IntEnum):
     """Whether a request may be executed more than once."""
 
-    IDEMPOTENT = 0  # may run any number of times
-    WITH_KEY = 1  # the endpoints of a scope discard its duplicates for a while
-    # Must never run twice (also: any effect the host does not recognise)
+    IDEMPOTENT = 0  # It may run any number of times.
+    # The endpoints of its deduplication scope discard duplicates within the idempotency window.
+    WITH_KEY = 1
+    # It must never run twice. This also stands for any value that the host does not recognise.
     NOT_IDEMPOTENT = 2
 
 
@@ -40,13 +41,13 @@
     """One class of requests. Times are microseconds.
 
     Attributes:
-        idempotency: What a repeat does.
+        idempotency: Whether a request may be executed more than once.
         latency_objective: An answer within this time has its full value.
-        deadline: How long a client waits in all, over all its attempts.
-        priority_weight: The value of an answer.
-        late_priority_weight: The share of it that an answer after the objective has.
-        deduplication_scope: Where duplicates of a request with a key are discarded.
-        idempotency_window: For how long the scope remembers a request with a key.
+        deadline: The time for which a client waits in total, over all its attempts.
+        priority_weight: The value of an answer within the latency objective.
+        late_priority_weight: The fraction of that value that a later answer has.
+        deduplication_scope: The endpoints that discard duplicates of a request with an idempotency key.
+        idempotency_window: The time for which the scope remembers a request with an idempotency key.
         stream: Whether answers are streams.
     """
 
@@ -62,10 +63,10 @@
 
 @dataclass(frozen=True)
 class TenantSettings:
-    """One tenant.
+    """The settings of one tenant.
 
     Attributes:
-        quota: Requests a second over all instances; 0 for no quota.
+        quota: Requests per second over all instances; 0 for no quota.
     """
 
     quota: float = 0.0
@@ -73,37 +74,38 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """What an instance is configured with. Times are microseconds.
+    """The settings of a policy instance. Times are microseconds.
 
     Attributes:
-        classes: The classes of requests; at least one.
-        tenants: The tenants.
-        tier: The tier this instance sends to; above 0 its clients are servers.
-        tiers: How many tiers there are.
+        classes: The request classes; at least one.
+        tenants: The tenants; requests name them by index.
+        tier: The tier this instance sends to, from 0; above 0 its clients are servers.
+        tiers: Number of tiers.
         zone: The zone this instance is in.
-        instances: Instances that send to this tier, this one included.
+        instances: Number of instances that send to this tier, this one included.
         index: This instance's number among them.
-        ring_position: Its place among those that are alive, and their number, where known.
-        min_subset_size: The subset is no smaller while there are as many endpoints.
-        tick_us: Least time between two batches of events.
-        max_attempts: Attempts of one request, at most.
+        ring_position: This instance's position among the live instances and their number, if known.
+        min_subset_size: Minimum size of the subset, as far as there are enough endpoints.
+        tick_us: Minimum time between two batches of events.
+        max_attempts: Maximum number of attempts of a request.
         cancel: Whether an attempt may be cancelled.
         health_checks: Whether endpoints may be sent health checks.
         peers: Whether instances may send each other messages.
         hedged_requests: Whether a request may be hedged.
-        retry_after: Whether a rejection may say when to come back.
-        max_retry_after: The longest such time.
-        max_open_requests: Calls in flight, at most.
+        retry_after: Whether a rejection may tell the client when to return.
+        max_retry_after: The longest delay that a rejection may give.
+        max_open_requests: Maximum number of calls in flight.
         list_must_be_polled: Whether the endpoint list must be polled.
-        list_poll_interval: The longest silence between two polls.
-        list_weights: Whether the list's weights can be compared.
-        slow_start_time: A started endpoint is warm after this time.
-        slow_start_initial_share: The share of its capacity that it starts with, or more.
-        overload_multiple: Sent more than this multiple of its present capacity...
-        overload_window: ...for this long, an endpoint fails.
-        answer_slack: How late an answer may be noticed.
-        cross_zone_cost: What a call to another zone costs, as a share of a request's value.
-        over_quota_weight: The value of a request over quota, as a share.
+        list_poll_interval: The longest time between two polls.
+        list_weights: Whether the weights in the endpoint list can be compared with each other.
+        slow_start_time: The time after which a started endpoint is warm.
+        slow_start_initial_share: The fraction of its capacity that an endpoint has at least when it starts.
+        overload_multiple: An endpoint fails if it receives more than this multiple of its current capacity
+            for the time of `overload_window`.
+        overload_window: See `overload_multiple`.
+        answer_slack: The delay with which an answer may be noticed.
+        cross_zone_cost: Cost of a call to another zone, as a fraction of a request's value.
+        over_quota_weight: The value of a request over quota, as a fraction of its regular value.
         report_fields: The columns of endpoints' load reports.
     """
 
@@ -139,14 +141,19 @@
 
     @property
     def position(self) -> tuple[int, int]:
-        """The place by which endpoints are shared out: (index, count).
+        """This instance's index and the number of instances by which endpoints are divided into subsets.
 
-        What all instances together must not exceed goes by `instances` all the same.
+        Bounds that hold for all instances together are divided by `instances` all the same.
         """
         return self.ring_position or (self.index, self.instances)
 
     def __post_init__(self) -> None:
-        # Keys are those of the platform's page. Comparisons with a NaN are false as well.
+        """Checks the ranges of the values.
+
+        Raises:
+            SettingsError: A value is impossible. The error names the key as the platform's page does.
+        """
+        # A comparison with a NaN is false, so a NaN counts as impossible too.
         ring = self.ring_position
         require(ring is None or 0 <= ring[0] < ring[1], "ring")
         require(len(self.classes) > 0, "classes")
@@ -177,10 +184,14 @@
 
 
 def require(possible: bool, key: str) -> None:
-    """Checks a value of the settings.
+    """Checks a condition on a value of the settings.
+
+    Args:
+        possible: Whether the value is possible.
+        key: The key of the value, without the prefix `settings.`.
 
     Raises:
-        SettingsError: The value of `key` is impossible.
+        SettingsError: The value is impossible.
     """
     if not possible:
         raise SettingsError("impossible value", f"settings.{key}")
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -81,7 +81,7 @@
 
     def may_send(self, now: int, endpoint: Endpoint, urgent: bool) -> bool:
         """Whether one more call may go there: none to a crowded endpoint, a cold one's by its bucket."""
-        if self.reports.crowded(endpoint, urgent):
+        if self.reports.overloaded(endpoint, urgent):
             return False
         if endpoint.warming_until <= now:
             return True
@@ -131,7 +131,7 @@
             multiple = max(multiple, OVERLOAD_PART_HARDLY_WARM * overload * part)
         elif (
             self.limit.sample_rtt_ratio > 1
-            or self.reports.mean_of_members > self.reports.tolerated(urgent=False)
+            or self.reports.mean_of_members > self.reports.tolerated_queue(urgent=False)
         ):
             multiple = most
         return min(multiple, most)
--- a/loadbalancer/policy/tenant_quota.py
+++ b/loadbalancer/policy/tenant_quota.py
@@ -1,4 +1,7 @@
-"""Tenants' quotas: what came of each tenant lately against this instance's part of its quota."""
+"""Tenants' quotas: compares each tenant's recent requests with this instance's part of its quota.
+
+Times are in microseconds; quotas and rates are in requests per second.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,17 @@
 
 from loadbalancer.policy.context import PolicyContext
 
-TENANT_TIME_US = 8_000_000  # a tenant's traffic is counted over so long
+# Period over which a tenant's requests are counted; earlier ones fade out.
+USAGE_TIME_US = 8_000_000
 US_PER_SECOND = 1e6
-EXCESS_RATIO = 1.25  # clearly over quota is so many times the part that is due...
-EXCESS_DEVIATIONS = 1.5  # ...and so many standard deviations of a count
+# A tenant is clearly over its quota if its requests exceed this multiple of the allowed number by more
+# than EXCESS_DEVIATIONS standard deviations of a count and one request.
+EXCESS_RATIO = 1.25
+EXCESS_DEVIATIONS = 1.5
 
 
 class TenantUsage:
-    """What this instance counts of one tenant, over the last TENANT_TIME_US and fading."""
+    """One tenant's requests at this instance, as a count that fades over USAGE_TIME_US."""
 
     __slots__ = ("allowed", "rate", "seen", "updated_at")
 
@@ -21,28 +27,33 @@
         """Starts without a request.
 
         Args:
-            rate: This instance's part of the quota, in requests a second; 0 for no quota.
-            now: The time in microseconds.
+            rate: This instance's part of the quota, in requests per second; 0 for no quota.
+            now: The current time in microseconds.
         """
         self.rate = rate
         self.updated_at = now
-        self.seen = 0.0  # requests
-        self.allowed = 1.0  # the quota's part for the same time, and one to start with
+        self.seen = 0.0  # Requests, as a fading count.
+        # Requests that the quota allows in the same period, plus one at the start.
+        self.allowed = 1.0
 
-    def fade(self, now: int) -> None:
-        """Brings both counts up to date."""
+    def update(self, now: int) -> None:
+        """Fades both counts by the time since the last update, and adds what the quota allows in it."""
         elapsed = now - self.updated_at
-        remaining = max(0.0, 1 - elapsed / TENANT_TIME_US)
+        remaining = max(0.0, 1 - elapsed / USAGE_TIME_US)
         self.seen *= remaining
         self.allowed = self.allowed * remaining + self.rate * elapsed / US_PER_SECOND
         self.updated_at = now
 
 
 class TenantQuotas:
-    """Tells which requests count as over their tenant's quota."""
+    """Decides which requests count as over their tenant's quota."""
 
     def __init__(self, context: PolicyContext) -> None:
-        """Starts without a request of any tenant."""
+        """Starts without a request of any tenant.
+
+        Args:
+            context: The settings with the tenants, and the source of random numbers.
+        """
         self.context = context
         settings = context.settings
         self.tenants = [
@@ -51,12 +62,12 @@
         ]
 
     def start(self, now: int) -> None:
-        """Begins to count."""
+        """Starts the counts at the given time, in microseconds."""
         for tenant in self.tenants:
             tenant.updated_at = now
 
     def update_settings(self, now: int) -> None:
-        """Takes on changed quotas; counts stay."""
+        """Applies changed quotas; the counts of the remaining tenants are kept."""
         settings = self.context.settings
         for index, tenant in enumerate(settings.tenants):
             if index == len(self.tenants):
@@ -64,24 +75,31 @@
             self.tenants[index].rate = tenant.quota / settings.instances
         del self.tenants[len(settings.tenants) :]
 
-    def judge(self, now: int, tenant: int) -> tuple[bool, bool]:
-        """Counts a request; whether it is over its tenant's quota, and whether that is beyond doubt.
+    def count_request(self, now: int, tenant: int) -> tuple[bool, bool]:
+        """Counts a request and compares its tenant's usage with the quota.
+
+        An instance that receives far more than its part of all traffic recognizes this by the median of
+        its tenants' usage, and allows each tenant more by the same factor.
+
+        Args:
+            now: The current time in microseconds.
+            tenant: The request's tenant, by its index in the settings.
 
-        An instance that gets far more than its part of all traffic sees it by its middle tenant, and
-        allows each as much more.
+        Returns:
+            Whether the request is over its tenant's quota, and whether it is clearly over.
         """
         if tenant >= len(self.tenants) or self.tenants[tenant].rate <= 0:
             return False, False
         usage = self.tenants[tenant]
-        for each in self.tenants:
-            each.fade(now)
+        for tenant_usage in self.tenants:
+            tenant_usage.update(now)
         usage.seen += 1
-        ratios = sorted(
-            (each.seen - sqrt(each.seen)) / each.allowed
-            for each in self.tenants
-            if each.rate > 0
+        usage_ratios = sorted(
+            (tenant_usage.seen - sqrt(tenant_usage.seen)) / tenant_usage.allowed
+            for tenant_usage in self.tenants
+            if tenant_usage.rate > 0
         )
-        allowed = usage.allowed * max(1.0, ratios[(len(ratios) - 1) // 2])
-        over = self.context.rng.random() * usage.seen > allowed
-        bound = EXCESS_RATIO * allowed + EXCESS_DEVIATIONS * sqrt(allowed) + 1
-        return over, over and usage.seen > bound
+        allowed = usage.allowed * max(1.0, usage_ratios[(len(usage_ratios) - 1) // 2])
+        over_quota = self.context.rng.random() * usage.seen > allowed
+        clear_excess = EXCESS_RATIO * allowed + EXCESS_DEVIATIONS * sqrt(allowed) + 1
+        return over_quota, over_quota and usage.seen > clear_excess
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -946,7 +946,7 @@
     )
     node.slow_start.warm_rate, node.slow_start.learned_for = 30.0, WARM_TIME_US
     node.limit.sample_rtt_ratio = 2.0
-    node.calls.window_at = node.outliers.next_trial_at = 10 * SEC
+    node.calls.window_closed_at = node.outliers.next_trial_at = 10 * SEC
     for sent in (1, 40):
         # One call a second is what crowding leaves, and 40 are what is sent to a crowded server: neither is
         # what it bears. The fullest windows of many copies add up to twice that.
@@ -1006,7 +1006,7 @@
             held,
             2.0 if pressed else 0.5,
         )
-        assert node.reports.crowded(node.table.endpoints[1], urgent=False) is (
+        assert node.reports.overloaded(node.table.endpoints[1], urgent=False) is (
             crowded and instances > 1
         )
     node.table.endpoints[1].reported_queue = 9.0
@@ -1101,14 +1101,14 @@
     assert node.limit.capacity < 0.8 * len(node.subset.endpoint_list)
     warm = next(srv for srv in node.subset.members if srv.warming_until == 0)
     warm.in_flight, warm.reported_queue, node.limit.sample_rtt_ratio = 1, 5.0, 0.5
-    assert not node.reports.crowded(warm, urgent=False)
+    assert not node.reports.overloaded(warm, urgent=False)
     for late, crowded in (
         (0.6, False),
         (0.9, True),
         (1.5, True),
     ):  # 5 is 1.67 times the usual
         node.limit.sample_rtt_ratio = late
-        assert node.reports.crowded(warm, urgent=False) is crowded
+        assert node.reports.overloaded(warm, urgent=False) is crowded
 
 
 def test_a_copy_with_many_calls_in_flight_has_a_member_for_each():
@@ -1149,13 +1149,13 @@
     for i in range(3000):  # large servers hold forty each, and answer well
         node.limit.sample_rtt_ratio = 0.3
         told(node, rec, 20_000 * i, i, 40)
-    assert node.reports.usual > 35
-    before = node.reports.usual
+    assert node.reports.usual_queue > 35
+    before = node.reports.usual_queue
     node.limit.sample_rtt_ratio = 0.9
     node.limit.samples.clear()
     node.limit.window_start = 10**12
     told(node, rec, 10**9, 5000, 400)
-    assert node.reports.usual == before
+    assert node.reports.usual_queue == before
 
 
 def test_a_second_change_of_the_list_within_a_window_moves_the_limit_too():
