--- a/loadbalancer/policy/settings.py
+++ b/loadbalancer/policy/settings.py
@@ -157,13 +157,13 @@
         ring = self.ring_position
         require(ring is None or 0 <= ring[0] < ring[1], "ring")
         require(len(self.classes) > 0, "classes")
-        for index, each in enumerate(self.classes):
+        for index, request_class in enumerate(self.classes):
             key = f"classes[{index}]"
-            require(each.latency_objective > 0, f"{key}.aim")
-            require(each.deadline > 0, f"{key}.deadline")
-            require(each.priority_weight >= 0, f"{key}.worth")
-            require(each.late_priority_weight >= 0, f"{key}.late_worth")
-            require(each.idempotency_window >= 0, f"{key}.window")
+            require(request_class.latency_objective > 0, f"{key}.aim")
+            require(request_class.deadline > 0, f"{key}.deadline")
+            require(request_class.priority_weight >= 0, f"{key}.worth")
+            require(request_class.late_priority_weight >= 0, f"{key}.late_worth")
+            require(request_class.idempotency_window >= 0, f"{key}.window")
         for index, tenant in enumerate(self.tenants):
             require(tenant.quota >= 0, f"tenants[{index}].quota")
         require(0 <= self.tier < self.tiers, "tier")
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""The four rules for each effect, and each failure that the module answers."""
+"""Tests of the balancer: the rules for each kind of idempotency, and the failures that it handles."""
 
 from collections import Counter
 from dataclasses import replace
@@ -27,12 +27,12 @@
 
 
 @pytest.fixture
-def wide(monkeypatch):
-    """All servers of a small list are members."""
+def wide_subset(monkeypatch):
+    """Makes all endpoints of a small list members."""
     monkeypatch.setattr(subset, "SUBSET_LEAST", 24)
 
 
-def test_refused_at_the_limit_at_once_with_back_off():
+def test_request_at_the_limit_is_rejected_at_once_with_retry_after():
     node, rec = balancer(1)
     limit = int(node.limit.allowed())
     answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("outcome", sorted(NEVER_RAN))
 @pytest.mark.parametrize("klass", [0, 1, 2])
-def test_an_attempt_that_never_ran_goes_to_another_try(outcome, klass):
+def test_attempt_that_never_ran_is_retried(outcome, klass):
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1, klass)
     ((action, *_),) = end(node, rec, 1000, 1, 0, server, outcome)
@@ -54,14 +54,14 @@
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_unsafe_is_failed_once_it_may_have_run(outcome):
+def test_unsafe_request_fails_once_it_may_have_run(outcome):
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1, 2)
     assert end(node, rec, 1000, 1, 0, server, outcome) == [("fail", 1)]
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_safe_is_tried_again_then_refused_at_the_attempt_cap(outcome):
+def test_safe_request_is_retried_then_rejected_at_the_maximum_of_attempts(outcome):
     node, rec = balancer(max_attempts=2)
     _, _, server, _ = ask(node, rec, 0, 1, 0)
     ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, outcome)
@@ -70,7 +70,7 @@
     assert action == "reject"
 
 
-def test_keyed_repeats_stay_in_the_group_and_window():
+def test_keyed_repeats_stay_in_the_scope_and_the_idempotency_window():
     for group, field in (
         (DeduplicationScope.CELL, "cell"),
         (DeduplicationScope.ZONE, "zone"),
@@ -95,14 +95,14 @@
             assert end(node, rec, SEC + 1, 1, 1, other, Outcome.ERROR) == [("fail", 1)]
 
 
-def test_keyed_is_failed_when_its_group_has_no_other_server():
+def test_keyed_request_fails_if_its_scope_has_no_other_endpoint():
     node, rec = balancer([EndpointEntry(1, cell=1), EndpointEntry(2, cell=2)])
     _, _, server, _ = ask(node, rec, 0, 1, 1)
     assert end(node, rec, 1000, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
-def test_retries_are_capped_by_a_budget():
-    """Retries multiply through tiers: a subset that fails everything gets few further attempts."""
+def test_retries_are_limited_by_a_budget():
+    """Retries multiply through tiers, so a subset that fails every call gets few further attempts."""
     node, rec = balancer(4)
     sends = 0
     for i in range(100):
@@ -115,7 +115,7 @@
     assert 100 < sends <= 100 + 100 * 0.1 + 4
 
 
-def test_time_out_at_the_deadline_gets_the_final_answer():
+def test_timeout_at_the_deadline_gets_the_final_answer():
     for klass, answer in ((0, "reject"), (1, "fail"), (2, "fail")):
         node, rec = balancer()
         _, _, server, timeout = ask(node, rec, 0, 1, klass)
@@ -127,8 +127,8 @@
         assert not node.requests
 
 
-def test_a_class_without_late_worth_is_not_waited_for_beyond_its_aim():
-    """Late work is waste."""
+def test_class_without_late_value_does_not_wait_beyond_its_latency_objective():
+    """Work on an answer that has lost its value is wasted."""
     klass = RequestClass(
         Idempotency.IDEMPOTENT,
         latency_objective=SEC,
@@ -139,13 +139,13 @@
     assert ask(node, rec, 0, 1)[3] < SEC
 
 
-def test_no_eligible_server_is_an_answer_at_once():
+def test_request_without_an_eligible_endpoint_is_rejected_at_once():
     for klass in (0, 1, 2):
         node, rec = balancer(0)
         assert ask(node, rec, 0, 1, klass)[0] == "reject"
 
 
-def test_nothing_new_goes_to_a_draining_or_gone_server():
+def test_no_new_call_goes_to_a_draining_or_gone_endpoint():
     for state in (EndpointState.DRAINING, EndpointState.GONE):
         node, rec = balancer(4)
         node.update_endpoints(10, ListUpdateKind.CHANGES, [EndpointEntry(2, state)])
@@ -160,7 +160,7 @@
         assert servers == {1, 3, 4}
 
 
-def test_a_full_list_removes_what_it_does_not_name():
+def test_full_list_removes_endpoints_that_it_does_not_name():
     node, _rec = balancer(4)
     node.update_endpoints(
         10,
@@ -173,8 +173,8 @@
     assert len(node.subset.members) == 2
 
 
-def test_a_drained_server_that_fails_gets_no_trial():
-    """A drained server's last calls fail; ejected after its removal it would get a half-open trial."""
+def test_drained_endpoint_that_fails_gets_no_trial():
+    """A drained endpoint whose last calls fail would get a trial if it were ejected after its removal."""
     node, rec = balancer(4)
     held = []
     for i in range(12):
@@ -202,7 +202,7 @@
         end(node, rec, i * SEC, i, 0, server, Outcome.OK)
 
 
-def test_the_subset_is_bounded_and_refilled():
+def test_subset_is_bounded_and_refilled():
     node, _rec = balancer(60, instances=10)
     size = len(node.subset.members)
     assert size < 60
@@ -214,23 +214,29 @@
     assert first not in {m.id for m in node.subset.members}
 
 
-def test_all_servers_belong_to_someone_where_copies_are_few():
-    """Copies that start four servers apart leave most of a large fleet idle."""
-    for servers, copies, bound in ((900, 10, 91), (60, 12, 24), (2000, 10, 128)):
-        cover: dict[int, int] = {}
-        for index in range(copies):
-            node, _ = balancer(servers, instances=copies, index=index)
+def test_every_endpoint_is_in_a_subset_if_instances_are_few():
+    """Subsets that start four endpoints apart would leave most of a large fleet idle."""
+    for servers, instances, bound in (
+        (900, 10, 91),
+        (60, 12, 24),
+        (2000, 10, 128),
+    ):
+        subsets_by_endpoint: dict[int, int] = {}
+        for index in range(instances):
+            node, _ = balancer(servers, instances=instances, index=index)
             assert len(node.subset.members) <= bound
             for m in node.subset.members:
-                cover[m.id] = cover.get(m.id, 0) + 1
+                subsets_by_endpoint[m.id] = subsets_by_endpoint.get(m.id, 0) + 1
         if servers == 900:
-            assert len(cover) == servers
-            assert max(cover.values()) <= 2
-        assert max(cover.values()) - min(cover.values()) <= 2
+            assert len(subsets_by_endpoint) == servers
+            assert max(subsets_by_endpoint.values()) <= 2
+        assert (
+            max(subsets_by_endpoint.values()) - min(subsets_by_endpoint.values()) <= 2
+        )
 
 
-def test_a_member_that_fails_quickly_is_ejected_and_tried_again():
-    """Quick errors hold few calls and would win every draw."""
+def test_member_that_fails_quickly_is_ejected_and_tried_again():
+    """A member with quick errors has few calls in flight and would be chosen every time."""
     node, rec = balancer(6)
     now, bad = 0, 0
     for i in range(300):
@@ -259,8 +265,8 @@
     assert node.table.endpoints[3].ended_calls > before
 
 
-def test_a_silent_member_is_ejected_and_frees_the_limit():
-    """Calls stuck on a silent member must not fill the limit for all the others."""
+def test_silent_member_is_ejected_and_its_calls_leave_the_limit():
+    """Calls to a silent member must not use up the limit for all other members."""
     node, rec = balancer(6)
     now, out = 0, []
     for i in range(600):
@@ -276,8 +282,8 @@
     assert node.limit.in_flight == 6
 
 
-def test_a_cold_server_gets_no_more_than_its_share():
-    """A restarted server looks idle and draws a flood that pushes it over."""
+def test_cold_endpoint_receives_no_more_than_its_share():
+    """A restarted endpoint looks idle and would receive so many calls that it fails."""
     node, rec = balancer(4)
     now, cold = 0, 0
     for i in range(400):
@@ -290,12 +296,12 @@
         action = ask(node, rec, now, i)
         cold += i >= 200 and action[2] == 2
         end(node, rec, now, i, 0, action[2], Outcome.OK, 250_000)
-    # two seconds at up to 0.4 + 0.6 x 0.5 of a warm member's 25 to 33 a second
+    # Two seconds at up to 0.4 + 0.6 x 0.5 of a warm member's 25 to 33 calls per second.
     assert 5 <= cold <= 40
 
 
-def test_lower_tier_holds_at_the_limit_instead_of_refusing():
-    """A refusal below the first tier throws away the work already done above."""
+def test_lower_tier_queues_at_the_limit_instead_of_rejecting():
+    """A rejection below the first tier wastes the work already done in the tiers above."""
     node, rec = balancer(1, tier=1, tiers=2)
     sent = []
     for i in range(4):
@@ -311,7 +317,10 @@
 
 
 def tenants_served(shed: float, sent: tuple[int, ...]) -> list[float]:
-    """Shares served of tenants that each have 10 requests a second and send so many times 10."""
+    """Returns the fractions served of tenants with a quota of 10 requests per second each.
+
+    Each tenant sends the multiple of its quota that `sent` gives.
+    """
     tenants = tuple(TenantSettings(quota=10 * 50) for _ in sent)
     node, rec = balancer(8, tenants=tenants, instances=50)
     served = [0] * len(sent)
@@ -337,20 +346,20 @@
     return [n / (600 * count) for n, count in zip(served, sent, strict=True)]
 
 
-def test_a_tenant_far_beyond_its_share_is_shed_while_the_fleet_is_pressed():
-    """One tenant's excess takes the servers from the others, and no copy's limit ever binds."""
+def test_tenant_far_over_its_quota_is_shed_under_load():
+    """One tenant's excess uses up the servers for the others although no instance reaches its limit."""
     greedy, *others = tenants_served(1.0, (3, 1, 1))
     assert greedy < 0.45
     assert min(others) > 0.95
     assert min(tenants_served(0.0, (3, 1, 1))) > 0.95
 
 
-def test_a_copy_with_much_more_than_its_part_of_the_traffic_sheds_no_tenant_for_it():
-    """The quotas' equal parts say that all tenants of a node in favour are in excess."""
+def test_instance_with_much_more_traffic_than_others_sheds_no_tenant_for_it():
+    """With equal parts of the quotas, all tenants of a node that clients prefer would be over quota."""
     assert min(tenants_served(1.0, (9, 10, 9))) > 0.85
 
 
-def test_a_class_of_lesser_worth_leaves_room():
+def test_class_of_lower_priority_leaves_headroom():
     rich = RequestClass(
         Idempotency.NOT_IDEMPOTENT,
         latency_objective=SEC,
@@ -363,7 +372,7 @@
     assert ask(node, rec, 0, 99, 1)[0] == "send"
 
 
-def test_a_client_that_left_is_cancelled_and_gets_no_answer():
+def test_request_of_a_disconnected_client_is_cancelled_and_gets_no_answer():
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1)
     node.client_disconnected(10, 1)
@@ -376,14 +385,14 @@
     assert rec.take() == []
 
 
-def test_a_begun_stream_is_never_tried_again():
+def test_started_response_is_never_retried():
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1)
     node.response_started(10, 1, 0, server, 10)
     assert end(node, rec, 20, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
-def test_odd_events_are_ignored():
+def test_unexpected_events_are_ignored():
     node, rec = balancer()
     node.client_disconnected(0, 5)
     node.outcome(0, 5, 0, 77, Outcome.OK, 1, True, ())
@@ -398,7 +407,7 @@
     assert node.limit.in_flight == 0
 
 
-def test_an_asked_for_list_is_watched_and_asked_again_with_back_off():
+def test_polled_list_is_watched_and_polled_again_with_backoff():
     node, rec = balancer(list_must_be_polled=True, list_poll_interval=10 * SEC)
     node.start(0)
     assert rec.take("watch") == [("watch", True)]
@@ -446,7 +455,7 @@
     assert [c.idempotency for c in (SAFE, KEYED, UNSAFE)] == list(Idempotency)
 
 
-def calls(
+def play_calls(
     node,
     rec,
     steps: int,
@@ -455,13 +464,14 @@
     gap: int = 10_000,
     bad: Outcome = Outcome.RESET,
 ) -> tuple[int, float]:
-    """Plays calls of 100 ms, up to ten in flight, of which such a share fails by chance.
+    """Plays calls of 100 ms, up to ten in flight, of which the fraction `failing` fails at random.
 
-    Gives the time at the end and the least limit on the way.
+    Returns:
+        The time at the end and the lowest limit in between.
     """
-    chance = Random(7)
+    rng = Random(7)
     out: list = []
-    least = node.limit.limit
+    minimum = node.limit.limit
     for _ in range(steps):
         now += gap
         action = ask(node, rec, now, now, 2)
@@ -469,48 +479,48 @@
             out.append(action)
         if len(out) > 10 or (action[0] != "send" and out):
             _, request, server, _ = out.pop(0)
-            outcome = bad if chance.random() < failing else Outcome.OK
+            outcome = bad if rng.random() < failing else Outcome.OK
             end(node, rec, now, request, 0, server, outcome, 100_000)
-        least = min(least, node.limit.limit)
-    return now, least
+        minimum = min(minimum, node.limit.limit)
+    return now, minimum
 
 
-def test_a_tenth_of_failing_calls_is_no_overload():
-    """Failure prevented: answers that come spoilt, from any server alike, halve the limit over and over.
+def test_failure_of_a_tenth_of_the_calls_is_no_overload():
+    """Guards against faulty answers from all endpoints alike that halve the limit again and again.
 
-    Where calls are few, two failures among a window's dozen are its p90.
+    If calls are few, two failures among a dozen calls of a window determine its p90.
     """
     node, rec = balancer(6, instances=6)
-    now, _ = calls(node, rec, 1500, 0.0)
+    now, _ = play_calls(node, rec, 1500, 0.0)
     limit = node.limit.limit
-    _, least = calls(node, rec, 1400, 0.1, now, 70_000)
-    assert least > 0.9 * limit
+    _, minimum = play_calls(node, rec, 1400, 0.1, now, 70_000)
+    assert minimum > 0.9 * limit
 
 
-def test_failures_of_the_whole_subset_close_the_limit():
-    """With servers lost below, most calls come back as errors; without samples the limit would stay."""
+def test_failures_of_the_entire_subset_lower_the_limit():
+    """When a tier below has lost endpoints, most calls fail; without samples the limit would not fall."""
     node, rec = balancer(6, instances=6)
-    now, _ = calls(node, rec, 1500, 0.0)
+    now, _ = play_calls(node, rec, 1500, 0.0)
     usual = node.limit.usual_in_flight
     assert usual > 8
     assert node.limit.allowed() > 12
-    calls(node, rec, 1500, 1.0, now)
+    play_calls(node, rec, 1500, 1.0, now)
     assert node.limit.floor < usual
     assert node.limit.limit < 0.6 * usual
 
 
-def test_connections_that_are_refused_do_not_lower_the_limit_of_the_others():
-    """A zone is gone: a third of the calls reach nobody; the other two thirds are as quick as before."""
+def test_refused_connections_do_not_lower_the_limit_for_other_endpoints():
+    """A zone has failed: a third of the calls reach no server, and the others are as quick as before."""
     node, rec = balancer(6, instances=6)
-    now, _ = calls(node, rec, 1500, 0.0)
+    now, _ = play_calls(node, rec, 1500, 0.0)
     limit = node.limit.limit
-    _, least = calls(node, rec, 1500, 0.33, now, bad=Outcome.CONNECT_FAILED)
-    assert least > 0.9 * limit
+    _, minimum = play_calls(node, rec, 1500, 0.33, now, bad=Outcome.CONNECT_FAILED)
+    assert minimum > 0.9 * limit
     assert node.limit.lost_ratio == 0
 
 
-def test_a_member_that_has_just_turned_slow_loses_draws_before_its_calls_return():
-    """Its averages still look good: what tells is that its calls have been out for longer than the mean."""
+def test_member_that_has_just_become_slow_is_chosen_less_before_its_calls_end():
+    """Its averages are still good, but its calls have been in flight for longer than the mean."""
     node, _rec = balancer(2)
     slow, quick = node.subset.members
     slow.in_flight, slow.last_progress_at = 1, 0
@@ -519,13 +529,13 @@
     assert slow.load(1_000_000, 250_000.0) > quick.load(1_000_000, 250_000.0)
 
 
-@pytest.mark.usefixtures("wide")
-def test_calls_keep_to_their_zone_only_where_a_crossing_costs():
-    """Own calls in flight decide alone where crossings are cheap; keeping to a zone crowds its servers."""
+@pytest.mark.usefixtures("wide_subset")
+def test_calls_stay_in_their_zone_only_if_crossing_is_costly():
+    """If crossing is cheap only calls in flight decide; staying in a zone would overload its servers."""
     entries = [EndpointEntry(i + 1, zone=i % 2) for i in range(12)]
 
-    def near_share(price: float) -> float:
-        node, rec = balancer(entries, cross_zone_cost=price)
+    def local_fraction(cost: float) -> float:
+        node, rec = balancer(entries, cross_zone_cost=cost)
         now = near = 0
         for i in range(400):
             now += 20_000
@@ -534,12 +544,12 @@
             end(node, rec, now, i, 0, server, Outcome.OK, 250_000)
         return near / 400
 
-    assert near_share(0.04) > 0.7
-    assert 0.35 < near_share(0.005) < 0.65
+    assert local_fraction(0.04) > 0.7
+    assert 0.35 < local_fraction(0.005) < 0.65
 
 
-def test_a_crowded_zone_spills():
-    """One zone's servers drown while another's stand idle."""
+def test_overloaded_zone_spills():
+    """Guards against one zone's servers being overloaded while another's are idle."""
     entries = [EndpointEntry(i + 1, zone=i % 2) for i in range(12)]
     node, rec = balancer(entries, cross_zone_cost=0.04)
     now, far = 0, 0
@@ -547,30 +557,32 @@
         now += 10_000
         server = ask(node, rec, now, i, 2)[2]
         far += i >= 1000 and server % 2 == 0
-        crowded = i >= 500 and server % 2 == 1
-        end(node, rec, now, i, 0, server, Outcome.OK, 800_000 if crowded else 200_000)
+        overloaded = i >= 500 and server % 2 == 1
+        end(
+            node, rec, now, i, 0, server, Outcome.OK, 800_000 if overloaded else 200_000
+        )
     assert node.spill.share > 0.5
     assert far > 300
 
 
-@pytest.mark.parametrize(("nodes", "least"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
-def test_a_node_leaves_its_zone_with_what_exceeds_the_zones_part(nodes, least):
-    """A zone's one server would take all calls of the one node beside it."""
+@pytest.mark.parametrize(("nodes", "minimum"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
+def test_node_spills_the_traffic_that_exceeds_its_zone_s_part(nodes, minimum):
+    """Guards against a zone's only server receiving all calls of the only node in its zone."""
     entries = [EndpointEntry(i + 1, zone=min(i, 1)) for i in range(6)]
     node, rec = balancer(entries, cross_zone_cost=0.04, instances=nodes)
-    assert node.spill.share == pytest.approx(least)
+    assert node.spill.share == pytest.approx(minimum)
     now = far = 0
     for i in range(600):
         now += 20_000
         server = ask(node, rec, now, i)[2]
         far += server != 1
         end(node, rec, now, i, 0, server, Outcome.OK, 250_000)
-    assert far / 600 >= least * 5 / 6 - 0.05
-    assert node.spill.share >= least
+    assert far / 600 >= minimum * 5 / 6 - 0.05
+    assert node.spill.share >= minimum
 
 
-def test_a_slow_member_is_drawn_less_often():
-    """Equal calls in flight hide a slow machine where a copy has hardly any in flight."""
+def test_slow_member_is_chosen_less_often():
+    """If an instance has hardly any calls in flight, their number does not reveal a slow machine."""
     node, rec = balancer(4)
     now, hits = 0, 0
     for i in range(400):
@@ -590,7 +602,7 @@
     assert hits < 60
 
 
-def test_a_failing_member_loses_draws_before_it_is_ejected():
+def test_failing_member_is_chosen_less_before_it_is_ejected():
     node, _rec = balancer(4)
     node.table.endpoints[1].failure_rate = 0.25
     node.table.endpoints[1].last_progress_at = 0
@@ -599,7 +611,7 @@
     )
 
 
-def test_a_slow_member_does_not_speak_for_the_subset():
+def test_slow_member_gives_no_sample_for_the_limit():
     node, rec = balancer(4)
     node.limit.end_measurement(0)
     node.table.endpoints[1].own_latency.value = 3.0
@@ -612,8 +624,8 @@
     assert counts == [0, 1]
 
 
-def test_what_is_ejected_counts_no_more_as_its_zones_part():
-    """Failure prevented: of a zone's two servers one fails, and the other drowns beside an idle zone."""
+def test_ejected_endpoint_does_not_count_as_capacity_of_its_zone():
+    """Guards against overload of a zone's second server after the first is ejected, beside an idle zone."""
     entries = [EndpointEntry(i, zone=i % 2) for i in range(1, 5)]
     node, _rec = balancer(entries, cross_zone_cost=0.04, instances=2)
     assert node.spill.share == 0
@@ -624,8 +636,8 @@
     assert node.spill.floor == 0
 
 
-def test_a_shrinking_list_leaves_no_more_than_a_third_ejected():
-    """Failure prevented: the one member left that is not ejected takes all calls."""
+def test_shrinking_list_leaves_at_most_a_third_ejected():
+    """Guards against a single member that receives all calls because all others are ejected."""
     node, _rec = balancer(4)
     node.outliers.eject(0, node.table.endpoints[1], silent=False)
     node.update_endpoints(1, ListUpdateKind.FULL, [EndpointEntry(i) for i in (1, 2, 3)])
@@ -635,15 +647,15 @@
     assert len(node.subset.eligible) == 2
 
 
-@pytest.mark.usefixtures("wide")
-def test_no_more_than_a_third_of_the_members_is_ejected():
+@pytest.mark.usefixtures("wide_subset")
+def test_at_most_a_third_of_the_members_is_ejected():
     node, _rec = balancer(9)
     for server in range(1, 10):
         node.outliers.eject(0, node.table.endpoints[server], silent=False)
     assert len(node.outliers.ejected) == 3
 
 
-def test_a_restarted_server_is_judged_anew():
+def test_restarted_endpoint_starts_with_a_clean_record():
     node, _rec = balancer(4)
     node.outliers.eject(0, node.table.endpoints[1], silent=False)
     node.table.endpoints[1].own_latency.value = 5.0
@@ -655,9 +667,10 @@
     assert node.table.endpoints[1].warming_until == SEC - 1 + 4 * SEC
 
 
-def test_the_bucket_of_a_cold_server_holds_no_call_at_its_start():
-    """A call saved up while nobody watched would come on top of every other node's. Nor do all copies have
-    their first one in the same moment: each starts with a part of a call, drawn anew at each start.
+def test_bucket_of_a_cold_endpoint_holds_no_full_call_at_its_start():
+    """A call saved up before the start would add to those of every other node.
+
+    Each instance starts with a random fraction of a call, so that not all send their first call at once.
     """
     parts = []
     for seed in range(200):
@@ -683,7 +696,7 @@
     assert all(sum(i <= 4 * part < i + 1 for part in parts) >= 15 for i in range(4))
 
 
-def test_a_trial_costs_the_request_little_and_is_never_an_unsafe_one():
+def test_trial_has_a_short_timeout_and_never_uses_an_unsafe_request():
     node, rec = balancer(4)
     node.outliers.eject(0, node.table.endpoints[1], silent=True)
     assert ask(node, rec, 5 * SEC, 1, klass=2)[2] != 1
@@ -693,8 +706,8 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.NOT_SENT])
-def test_a_trial_that_came_to_nothing_is_followed_by_another(outcome):
-    """Failure prevented: a client leaves during a trial, and the server stays ejected for good."""
+def test_trial_without_a_result_is_followed_by_another(outcome):
+    """Guards against an endpoint that stays ejected because the client of its trial disconnected."""
     node, rec = balancer(4)
     node.outliers.eject(0, node.table.endpoints[1], silent=True)
     assert ask(node, rec, 5 * SEC, 1)[2] == 1
@@ -703,7 +716,7 @@
     assert ask(node, rec, 10 * SEC, 2)[2] == 1
 
 
-def test_unvisited_zones_are_taken_to_do_as_well_as_this_one_at_its_best():
+def test_estimate_of_an_unused_zone_approaches_the_best_ratio_of_the_own_zone():
     entries = [EndpointEntry(i + 1, zone=i % 2) for i in range(12)]
     node, _rec = balancer(entries, cross_zone_cost=0.04, instances=12)
     node.spill.remote_ratio, node.spill.best_ratio, node.spill.local_ratio = (
@@ -717,8 +730,8 @@
     assert node.spill.share > 0
 
 
-@pytest.mark.usefixtures("wide")
-def test_when_the_drawn_are_all_cold_another_member_serves():
+@pytest.mark.usefixtures("wide_subset")
+def test_warm_member_serves_if_all_chosen_members_are_cold():
     entries = [EndpointEntry(i + 1, started_at=SEC) for i in range(11)] + [
         EndpointEntry(12)
     ]
@@ -726,23 +739,25 @@
     assert {ask(node, rec, SEC + 1000 * i, i)[2] for i in range(15)} == {12}
 
 
-def copies(count: int, servers: int, **changes) -> list[Balancer]:
+def balancers_of_instances(count: int, servers: int, **changes) -> list[Balancer]:
     return [
         balancer(servers, seed=i, instances=count, index=i, **changes)[0]
         for i in range(count)
     ]
 
 
-def test_each_server_belongs_to_equally_many_copies():
-    """Subsets drawn apart leave some servers to many copies and some to few."""
-    belongs = Counter(m.id for node in copies(70, 60) for m in node.subset.members)
+def test_every_endpoint_is_in_equally_many_subsets():
+    """Independently drawn subsets would put some endpoints into many subsets and some into few."""
+    belongs = Counter(
+        m.id for node in balancers_of_instances(70, 60) for m in node.subset.members
+    )
     assert len(belongs) == 60
     assert max(belongs.values()) - min(belongs.values()) <= 1
 
 
-def test_a_change_of_the_list_moves_few_members_and_new_servers_get_their_part():
-    """A full subset that takes in nobody leaves the machines of a grown fleet idle."""
-    nodes = copies(70, 60)
+def test_list_change_moves_few_members_and_new_endpoints_join_subsets():
+    """Guards against full subsets that admit no new endpoint and leave the machines of a grown fleet idle."""
+    nodes = balancers_of_instances(70, 60)
     before = [{m.id for m in node.subset.members} for node in nodes]
     for node in nodes:
         node.update_endpoints(1, ListUpdateKind.CHANGES, [EndpointEntry(61)])
@@ -751,38 +766,39 @@
     assert sum(len(a - b) for a, b in zip(after, before, strict=True)) < 2 * 70
 
 
-def test_the_subset_widens_with_the_calls_in_flight():
-    """A node that suddenly gets a large part of all traffic would send it to a few servers."""
+def test_subset_widens_with_the_calls_in_flight():
+    """Guards against a node that suddenly gets much of all traffic and sends it to a few endpoints."""
     node, rec = balancer(60, instances=300)
     small = len(node.subset.members)
-    # With sixty servers and 300 copies: ten calls of each copy
+    # With 60 endpoints and 300 instances this is ten calls of each instance.
     node.reports.mean_of_members = 50.0
     for i, (flight, most) in enumerate(((4.0, 8), (18.0, 43), (200.0, 60))):
         node.subset.mean_in_flight = flight
         ask(node, rec, i, i)
         assert small < 12
         assert 0.8 * most <= len(node.subset.members) <= most
-    node, rec = balancer(60, instances=300)  # nobody says what servers hold
+    node, rec = balancer(60, instances=300)  # No endpoint reports its queue.
     node.subset.mean_in_flight = 200.0
     ask(node, rec, 0, 1)
     assert len(node.subset.members) == 24
 
 
-def test_members_do_not_widen_where_all_copies_carry_more():
-    """In a shortage each server would get one call of all the more copies, and none would be spared."""
+def test_subset_does_not_widen_if_all_instances_have_more_calls_in_flight():
+    """Guards against a shortage in which wider subsets send every endpoint a call of even more instances."""
     node, rec = balancer(60, instances=20, report_fields=("inflight",))
+    # The second time all endpoints hold four times as much.
     for flight, held in (
         (12.5, 4.0),
         (50.0, 16.0),
-    ):  # all servers hold four times as much
+    ):
         node.subset.mean_in_flight, node.reports.mean_of_members = flight, held
         ask(node, rec, 0, int(flight))
         assert 23 <= len(node.subset.members) <= 25
 
 
-@pytest.mark.usefixtures("wide")
-def test_a_server_is_known_by_its_kind_before_it_is_called():
-    """At a call a second a copy would take a minute to find out each slow machine by itself."""
+@pytest.mark.usefixtures("wide_subset")
+def test_endpoint_starts_with_the_latency_of_its_kind():
+    """At one call per second an instance would take a minute to detect each slow machine by itself."""
     node, rec = balancer([EndpointEntry(i + 1, kind=i % 2) for i in range(8)])
     now = 0
     for i in range(60):
@@ -808,7 +824,7 @@
     )
 
 
-def test_a_keyed_repeat_finds_its_group_beyond_the_subset():
+def test_keyed_repeat_reaches_its_scope_outside_the_subset():
     entries = [EndpointEntry(i + 1, cell=i % 30) for i in range(60)]
     node, rec = balancer(entries, instances=50)
     first = ask(node, rec, 0, 1, 1)[2]
@@ -818,9 +834,9 @@
     assert (action[2] - first) % 30 == 0
 
 
-@pytest.mark.usefixtures("wide")
-def test_slow_members_together_get_little_of_the_traffic():
-    """Of few members two slow ones are drawn together each few calls, which keeps them crowded."""
+@pytest.mark.usefixtures("wide_subset")
+def test_slow_members_receive_little_of_the_traffic():
+    """Among few members two slow ones are often chosen together, which would keep them overloaded."""
     node, rec = balancer(4)
     now, slow = 0, 0
     for i in range(600):
@@ -840,10 +856,9 @@
     assert slow < 500 / 10
 
 
-def test_the_kinds_lie_evenly_in_every_copy_s_part():
-    entries = [
-        EndpointEntry(i + 1, kind=i % 4 // 3) for i in range(64)
-    ]  # a quarter of kind 1
+def test_kinds_are_spread_evenly_over_the_subsets():
+    # A quarter is of kind 1.
+    entries = [EndpointEntry(i + 1, kind=i % 4 // 3) for i in range(64)]
     for index in range(32):
         node, _ = balancer(entries, instances=32, index=index)
         assert sum(
@@ -851,8 +866,8 @@
         ) in (1, 2)
 
 
-def test_an_unknown_class_gets_no_right_to_a_repeat():
-    """It was treated as the last class of the settings, whatever that one may."""
+def test_request_of_an_unknown_class_is_never_repeated():
+    """Guards against treating it as the last class of the settings, which may be idempotent."""
     node, rec = balancer(classes=(UNSAFE, SAFE))
     server = ask(node, rec, 0, 1, klass=9)[2]
     assert [a[0] for a in end(node, rec, 10_000, 1, 0, server, Outcome.ERROR)] == [
@@ -860,7 +875,7 @@
     ]
 
 
-def test_the_end_of_a_request_already_gone_is_passed_over():
+def test_outcome_of_a_closed_request_is_ignored():
     node, rec = balancer()
     server = ask(node, rec, 0, 1)[2]
     end(node, rec, 10_000, 1, 0, server, Outcome.OK)
@@ -869,7 +884,7 @@
     assert node.limit.in_flight == 0
 
 
-def test_new_settings_keep_the_limit_and_what_is_open_keeps_the_old():
+def test_new_settings_keep_the_limit_and_open_requests_keep_the_old_settings():
     node, rec = balancer(4, max_attempts=2)
     for i in range(40):
         kind, *rest = ask(node, rec, i * 10_000, i, klass=0)
@@ -878,12 +893,13 @@
     assert ask(node, rec, SEC, 100, klass=0)[0] == "send"
     (server,) = [r.pending_endpoint.id for r in node.requests.values()]
     before = node.limit.limit, node.latency.mean_rtt[0], node.latency.mean_rtt[2]
+    # Index 1 stands for another class from now on.
     classes = (
         SAFE,
         replace(UNSAFE, priority_weight=3),
         UNSAFE,
         KEYED,
-    )  # place 1 means something else from now on
+    )
     new = replace(node.context.settings, classes=classes, max_attempts=1, instances=2)
     node.update_settings(SEC, new)
     assert (
@@ -897,7 +913,7 @@
         == len(node.limit.target_rtt)
         == 4
     )
-    # The open request was promised two attempts; one that comes now gets one.
+    # The open request may have two attempts; a new one may have one.
     (action,) = end(node, rec, SEC + 1000, 100, 0, server, Outcome.CONNECT_FAILED)
     assert action[0] == "send"
     kind, _, server, _ = ask(node, rec, SEC + 2000, 101, klass=3)
@@ -906,7 +922,7 @@
     assert action[0] == "reject"
 
 
-def test_an_open_request_of_a_dropped_class_is_never_sent_twice():
+def test_open_request_of_a_removed_class_is_never_sent_twice():
     node, rec = balancer(4)
     kind, _, server, _ = ask(node, rec, 0, 1, klass=2)
     node.update_settings(
@@ -921,26 +937,25 @@
     assert action[0] == "fail"
 
 
-def test_the_limit_falls_with_the_servers_that_are_replaced_by_cold_ones():
+def test_limit_falls_with_endpoints_that_are_replaced_by_cold_ones():
     node, _rec = balancer(10, seed=3)
-    ctl = node.limit
-    ctl.end_measurement(SEC)
-    ctl.limit, ctl.usual_in_flight = 60.0, 4.0
+    limit = node.limit
+    limit.end_measurement(SEC)
+    limit.limit, limit.usual_in_flight = 60.0, 4.0
     gone = [EndpointEntry(i, state=EndpointState.GONE) for i in range(1, 7)]
     cold = [EndpointEntry(i, started_at=2 * SEC) for i in range(11, 17)]
     node.update_endpoints(2 * SEC, ListUpdateKind.CHANGES, gone + cold)
-    worth = (4 + 6 * BASE.slow_start_initial_share) / 10
-    assert (ctl.limit, ctl.usual_in_flight) == pytest.approx(
-        (60.0 * worth, 4.0 * worth)
+    capacity_ratio = (4 + 6 * BASE.slow_start_initial_share) / 10
+    assert (limit.limit, limit.usual_in_flight) == pytest.approx(
+        (60.0 * capacity_ratio, 4.0 * capacity_ratio)
     )
     now = 2 * SEC + BASE.slow_start_time
-    node.subset.update_capacity(
-        now
-    )  # they have warmed up: the limit comes back without being learned anew
-    assert (ctl.limit, ctl.usual_in_flight) == pytest.approx((60.0, 4.0))
+    # They have warmed up: the limit returns to its value without new samples.
+    node.subset.update_capacity(now)
+    assert (limit.limit, limit.usual_in_flight) == pytest.approx((60.0, 4.0))
 
 
-def test_cold_members_keep_their_part_while_the_warm_ones_are_crowded():
+def test_cold_members_keep_their_rate_while_warm_ones_are_overloaded():
     node, _rec = balancer(
         [EndpointEntry(1), EndpointEntry(2, started_at=10 * SEC)], seed=2
     )
@@ -948,8 +963,8 @@
     node.limit.sample_rtt_ratio = 2.0
     node.calls.window_closed_at = node.outliers.next_trial_at = 10 * SEC
     for sent in (1, 40):
-        # One call a second is what crowding leaves, and 40 are what is sent to a crowded server: neither is
-        # what it bears. The fullest windows of many copies add up to twice that.
+        # An overloaded endpoint answers one call per second, and receives 40; neither is its capacity. The
+        # fullest windows of many instances add up to twice that capacity.
         node.slow_start.sent_to_warm = sent
         node.calls.close_window(11 * SEC)
         assert node.slow_start.warm_rate == 30.0
@@ -971,10 +986,10 @@
     assert node.slow_start.may_send(12 * SEC + int(1.01e6 / rate), cold, urgent=False)
 
 
-def told(
+def call_with_load_report(
     node: Balancer, rec, now: int, request: int, held: float, latency: int = 10_000
 ) -> int:
-    """A call that is served by a server that says how much it holds; which it was."""
+    """Plays a call whose answer reports the endpoint's queue, and returns the endpoint."""
     server = ask(node, rec, now, request)[2]
     node.outcome(now + latency, request, 0, server, Outcome.OK, latency, True, (held,))
     rec.take()
@@ -982,40 +997,41 @@
 
 
 @pytest.mark.parametrize(("instances", "most"), [(40, 1), (1, 3)])
-def test_many_copies_each_send_one_call_to_a_server_that_says_to_be_crowded(
+def test_many_instances_each_send_one_call_to_an_endpoint_that_reports_overload(
     instances: int, most: int
 ):
     node, rec = balancer(4, instances=instances, report_fields=("inflight",))
     node.limit.end_measurement(0)
     node.limit.limit = 100.0
     for i in range(8):
-        told(node, rec, 20_000 * i, i, 2)
+        call_with_load_report(node, rec, 20_000 * i, i, 2)
     for srv in node.table.endpoints.values():
         srv.reported_queue = 2.0 if srv.id == 4 else 9.0
     for i in range(100, 120):
         ask(node, rec, SEC, i)
-    crowded = [srv.in_flight for srv in node.table.endpoints.values() if srv.id != 4]
-    assert max(crowded) <= most if instances > 1 else max(crowded) >= most
+    overloaded = [srv.in_flight for srv in node.table.endpoints.values() if srv.id != 4]
+    assert max(overloaded) <= most if instances > 1 else max(overloaded) >= most
     node.table.endpoints[4].reported_queue = 9.0
-    for held, pressed, crowded in (
+    for held, is_late, overloaded in (
         (5.0, False, False),
         (5.0, True, True),
         (2.0, True, False),
     ):
         node.table.endpoints[1].reported_queue, node.limit.sample_rtt_ratio = (
             held,
-            2.0 if pressed else 0.5,
+            2.0 if is_late else 0.5,
         )
         assert node.reports.overloaded(node.table.endpoints[1], urgent=False) is (
-            crowded and instances > 1
+            overloaded and instances > 1
         )
     node.table.endpoints[1].reported_queue = 9.0
-    if instances > 1:  # no server may take more: that is said at once
+    # No endpoint may receive more, so the request is rejected at once.
+    if instances > 1:
         assert ask(node, rec, SEC, 200)[0] == "reject"
 
 
-def test_what_is_worth_most_is_not_refused_as_the_rest_where_all_are_crowded():
-    """Failure prevented: half of the worth is in one class, and all are refused alike."""
+def test_highest_class_is_rejected_less_than_others_if_all_endpoints_are_overloaded():
+    """Guards against rejecting all classes alike although half of the total value is in one of them."""
     classes = (replace(UNSAFE, priority_weight=10), SAFE)
     node, rec = balancer(4, instances=40, report_fields=("inflight",), classes=classes)
     node.limit.end_measurement(0)
@@ -1028,7 +1044,7 @@
     ):
         for srv in node.table.endpoints.values():
             srv.reported_queue, srv.in_flight = held, 1
-        node.limit.sample_rtt_ratio = 0.95  # nothing is late as yet
+        node.limit.sample_rtt_ratio = 0.95  # No answer is late yet.
         assert ask(node, rec, 0, klass * 100 + int(held), klass)[0] == answer
     alike, rec = balancer(
         4, instances=40, report_fields=("inflight",), classes=(SAFE, SAFE)
@@ -1037,11 +1053,12 @@
     alike.limit.limit, alike.limit.sample_rtt_ratio = 100.0, 0.95
     for srv in alike.table.endpoints.values():
         srv.reported_queue, srv.in_flight = 5.0, 1
-    assert ask(alike, rec, 0, 1)[0] == "reject"  # nobody is worth more than the others
+    # No class has a higher weight than the others.
+    assert ask(alike, rec, 0, 1)[0] == "reject"
 
 
-def test_cold_members_take_more_while_all_are_crowded_and_calls_not_yet_late():
-    """Failure prevented: warm ones are crowded, cold ones get what they get in quiet times."""
+def test_cold_members_receive_more_while_all_are_overloaded_and_calls_are_not_late():
+    """Guards against overloaded warm members while cold ones receive no more than in quiet times."""
     entries = [
         EndpointEntry(1),
         EndpointEntry(2, started_at=10 * SEC),
@@ -1069,13 +1086,13 @@
     )
 
 
-def test_what_a_copy_sent_since_a_report_counts_as_held_there():
-    """A busy copy sent forty calls to the one server whose last report told of two."""
+def test_calls_sent_since_a_report_count_in_the_queue():
+    """Guards against a busy instance that sends 40 calls to the one endpoint whose last report showed two."""
     node, rec = balancer(4, instances=40, report_fields=("inflight",))
     node.limit.end_measurement(0)
     node.limit.limit = 100.0
     for i in range(12):
-        told(node, rec, 20_000 * i, i, 2)
+        call_with_load_report(node, rec, 20_000 * i, i, 2)
     for srv in node.table.endpoints.values():
         srv.reported_queue = 2.0 if srv.id == 4 else 9.0
     sent = [ask(node, rec, SEC, i) for i in range(100, 120)]
@@ -1087,32 +1104,32 @@
         r for _, r, server, _ in (a for a in sent if a[0] == "send") if server == 4
     )
     node.outcome(SEC + 1000, request, 0, 4, Outcome.OK, 1000, True, (1.0,))
-    assert (
-        idle.reported_queue == 4.0
-    )  # the report is older than the four calls that are out
+    # The report is older than the four calls in flight.
+    assert idle.reported_queue == 4.0
     node.outcome(SEC + 1000, 999, 0, 4, Outcome.OK, 1000, True, ())
     assert idle.reported_queue == 3.0
 
 
-def test_warm_servers_bear_more_than_usual_while_others_are_cold_and_calls_are_quick():
-    """With half of the servers cold the warm ones hold more than usual; that is not yet a crowd."""
+def test_warm_endpoints_may_hold_more_than_usual_while_others_are_cold_and_calls_are_quick():
+    """If half of the endpoints are cold, warm ones hold more than usual, which is not yet overload."""
     entries = [EndpointEntry(i + 1, started_at=i % 2) for i in range(8)]
     node, _ = balancer(entries, instances=40, report_fields=("inflight",))
     assert node.limit.capacity < 0.8 * len(node.subset.endpoint_list)
     warm = next(srv for srv in node.subset.members if srv.warming_until == 0)
     warm.in_flight, warm.reported_queue, node.limit.sample_rtt_ratio = 1, 5.0, 0.5
     assert not node.reports.overloaded(warm, urgent=False)
-    for late, crowded in (
+    # A queue of 5 is 1.67 times the usual queue.
+    for late, overloaded in (
         (0.6, False),
         (0.9, True),
         (1.5, True),
-    ):  # 5 is 1.67 times the usual
+    ):
         node.limit.sample_rtt_ratio = late
-        assert node.reports.overloaded(warm, urgent=False) is crowded
+        assert node.reports.overloaded(warm, urgent=False) is overloaded
 
 
-def test_a_copy_with_many_calls_in_flight_has_a_member_for_each():
-    """Members that are crowded take one call of a copy: with 24 of them it refused all beyond the 24th."""
+def test_instance_with_many_calls_in_flight_has_a_member_for_each():
+    """An overloaded member gets one call per instance; with 24 members every further call was rejected."""
     node, rec = balancer(200, instances=40, report_fields=("inflight",))
     node.limit.end_measurement(0)
     node.limit.limit = 1000.0
@@ -1120,17 +1137,17 @@
     for i in range(1500):
         for srv in node.subset.members:
             srv.reported_queue = 9.0
-        node.reports.mean_of_members = 2.0  # ten calls of each copy
+        node.reports.mean_of_members = 2.0  # Ten calls of each instance.
         ask(node, rec, 1000 * i, i)
     assert 100 < len(node.subset.members) <= subset.SUBSET_BOUND
     assert node.limit.in_flight > 90
 
 
-def test_a_new_member_is_taken_to_hold_what_the_others_do_unless_it_is_cold():
-    """A copy that took in twenty members at once sent each of them seven calls, with all others crowded."""
+def test_new_member_starts_with_the_mean_queue_unless_it_is_cold():
+    """Guards against seven calls to each of 20 members that join while all others are overloaded."""
     node, rec = balancer(8, instances=40, report_fields=("inflight",))
     for i in range(8):
-        told(node, rec, 20_000 * i, i, 9)
+        call_with_load_report(node, rec, 20_000 * i, i, 9)
     for srv in node.subset.members:
         srv.reported_queue = 9.0
     node.subset.mean_in_flight = 40.0
@@ -1142,23 +1159,23 @@
     assert all(srv.reported_queue == (0.0 if srv.id > 20 else 9.0) for srv in new)
 
 
-def test_what_servers_usually_hold_is_learned_while_calls_are_quick():
+def test_usual_queue_is_learned_while_calls_are_quick():
     node, rec = balancer(4, instances=40, report_fields=("queue", "inflight"))
     assert node.reports.column == 1
     node.reports.column = 0
-    for i in range(3000):  # large servers hold forty each, and answer well
+    for i in range(3000):  # Large servers hold 40 each, and answer quickly.
         node.limit.sample_rtt_ratio = 0.3
-        told(node, rec, 20_000 * i, i, 40)
+        call_with_load_report(node, rec, 20_000 * i, i, 40)
     assert node.reports.usual_queue > 35
     before = node.reports.usual_queue
     node.limit.sample_rtt_ratio = 0.9
     node.limit.samples.clear()
     node.limit.window_start = 10**12
-    told(node, rec, 10**9, 5000, 400)
+    call_with_load_report(node, rec, 10**9, 5000, 400)
     assert node.reports.usual_queue == before
 
 
-def test_a_second_change_of_the_list_within_a_window_moves_the_limit_too():
+def test_second_list_change_within_a_window_updates_the_capacity_too():
     node, _ = balancer(10)
     node.update_endpoints(
         SEC, ListUpdateKind.CHANGES, [EndpointEntry(1, state=EndpointState.GONE)]
@@ -1174,71 +1191,78 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_all_copies_together_keep_a_cold_server_within_what_pushes_it_over(late):
-    """Failure prevented: each of many copies sends a restarted server little, and all together push it over.
+def test_all_instances_together_keep_a_cold_endpoint_below_the_rate_at_which_it_fails(
+    late,
+):
+    """Guards against instances that each send few calls to a restarted endpoint, but too many together.
 
-    The bound is N + 3 sqrt(N) + 3 calls in the time that the settings name, N being what they allow by then.
+    The bound is N + 3 sqrt(N) + 3 calls in the overload window, where N is the number that the settings allow
+    by then.
     """
-    copies, servers, rate, gap = (
+    # Calls per second of a warm endpoint; one burst every 10 ms.
+    instances, servers, rate, gap = (
         24,
         24,
         12,
         10_000,
-    )  # calls a second that a warm server gets; a burst each 10 ms
+    )
     rng = Random(7)
     changes = {
         "slow_start_initial_share": 0.12,
         "slow_start_time": 22 * SEC,
         "overload_window": 3 * SEC,
-        "instances": copies,
+        "instances": instances,
     }
     nodes = [
-        balancer(servers, seed=i, ring_position=(i, copies), **changes)
-        for i in range(copies)
+        balancer(servers, seed=i, ring_position=(i, instances), **changes)
+        for i in range(instances)
     ]
     rules = nodes[0][0].context.settings
-    due: list[tuple[int, int, int, int]] = []  # calls out: time, copy, request, server
-    cold, sent, last = set(range(1, 9)), Counter(), Counter()
+    # Calls in flight: time, instance, request, endpoint.
+    due: list[tuple[int, int, int, int]] = []
+    cold, sent, last_request = set(range(1, 9)), Counter(), Counter()
     times: dict[int, list[int]] = {server: [] for server in cold}
-    began, until = 8 * SEC, 18 * SEC
+    restarted_at, until = 8 * SEC, 18 * SEC
     for now in range(0, until, gap):
-        if now == began:
+        if now == restarted_at:
             for node, _ in nodes:
                 node.update_endpoints(
                     now,
                     ListUpdateKind.CHANGES,
                     [EndpointEntry(server, started_at=now) for server in cold],
                 )
-        for at, copy, request, server in [call for call in due if call[0] <= now]:
+        for at, instance, request, server in [call for call in due if call[0] <= now]:
             end(
-                *nodes[copy],
+                *nodes[instance],
                 now,
                 request,
                 0,
                 server,
                 Outcome.OK,
-                at and 20_000 + 2 * SEC * (late and now > began),
+                at and 20_000 + 2 * SEC * (late and now > restarted_at),
             )
         due = [call for call in due if call[0] > now]
         for _ in range(servers * rate * gap // SEC + (rng.random() < 0.88)):
-            copy = rng.randrange(copies)
-            last[copy] += 1
-            action = ask(*nodes[copy], now, last[copy], klass=0)
+            instance = rng.randrange(instances)
+            last_request[instance] += 1
+            action = ask(*nodes[instance], now, last_request[instance], klass=0)
             if action[0] == "send":
                 sent[action[2]] += 1
-                due.append((now + 20_000, copy, last[copy], action[2]))
-                if now >= began and action[2] in cold:
+                due.append((now + 20_000, instance, last_request[instance], action[2]))
+                if now >= restarted_at and action[2] in cold:
                     times[action[2]].append(now)
-    for seen in times.values():
-        assert seen  # each gets its part
+    for sent_times in times.values():
+        assert sent_times  # Each endpoint gets calls.
         for start in range(
-            began, until - rules.overload_window, rules.overload_window // 10
+            restarted_at, until - rules.overload_window, rules.overload_window // 10
         ):
-            count = sum(start <= at < start + rules.overload_window for at in seen)
+            count = sum(
+                start <= at < start + rules.overload_window for at in sent_times
+            )
             warmth = (
                 rules.slow_start_initial_share
                 + (1 - rules.slow_start_initial_share)
-                * (start - began)
+                * (start - restarted_at)
                 / rules.slow_start_time
             )
             allowed = (
--- a/tests/test_request_ends.py
+++ b/tests/test_request_ends.py
@@ -1,4 +1,4 @@
-"""What the module owes as something ends: the queue, the window of repeats, drains under an upload."""
+"""Tests of ends: queued requests, the idempotency window, and endpoints that drain during an upload."""
 
 from __future__ import annotations
 
@@ -19,35 +19,36 @@
 MS = 1_000
 
 
-def full(**changes) -> tuple[Balancer, Recorder, list[tuple]]:
-    """A copy below the first tier whose limit is reached, and the calls that are out."""
+def instance_at_limit(**changes) -> tuple[Balancer, Recorder, list[tuple]]:
+    """Returns an instance below the first tier whose limit is reached, and its calls in flight."""
     node, rec = balancer(2, tier=1, tiers=2, **changes)
     node.limit.limit = node.limit.measurement_limit = 2.0
-    node.subset.update_capacity = lambda now: None  # the limit stays as it is
+    node.subset.update_capacity = lambda now: None  # The limit stays as it is.
     out = [ask(node, rec, 0, request) for request in (1, 2)]
     assert [action[0] for action in out] == ["send", "send"]
     return node, rec, out
 
 
-def queue(
+def enqueue_request(
     node: Balancer, rec: Recorder, now: int, request: int, left: int = 3 * SEC
 ) -> int:
-    """Puts a request into the queue; returns the token of its timer."""
+    """Queues a request and returns the token of its timer."""
     node.request(now, request, 0, 0, left, False)
     ((name, _, token),) = rec.take()
     assert name == "set_timer"
     return token
 
 
-def test_a_queued_request_whose_client_left_frees_its_place_at_once_and_is_never_sent():
-    node, rec, out = full()
+def test_queued_request_whose_client_disconnects_frees_its_place_at_once_and_is_never_sent():
+    node, rec, out = instance_at_limit()
     for request in (3, 4):
-        queue(node, rec, MS, request)
-    assert ask(node, rec, 2 * MS, 5)[0] == "reject"  # the queue is as long as the limit
+        enqueue_request(node, rec, MS, request)
+    # The queue is as long as the limit.
+    assert ask(node, rec, 2 * MS, 5)[0] == "reject"
     node.client_disconnected(3 * MS, 3)
     assert rec.take() == []
     assert len(node.queue.waiting) == 1
-    queue(node, rec, 4 * MS, 6)
+    enqueue_request(node, rec, 4 * MS, 6)
     assert [
         action[1] for action in end(node, rec, 5 * MS, 1, 0, out[0][2], Outcome.OK)
     ] == [4]
@@ -56,24 +57,24 @@
     ] == [6]
 
 
-def test_a_queued_request_whose_time_is_over_is_answered_then_and_frees_its_place():
-    node, rec, out = full()
-    short = queue(node, rec, MS, 3, left=SEC)
-    queue(node, rec, MS, 4)
+def test_queued_request_whose_wait_ends_is_rejected_and_frees_its_place():
+    node, rec, out = instance_at_limit()
+    short = enqueue_request(node, rec, MS, 3, left=SEC)
+    enqueue_request(node, rec, MS, 4)
     node.timer(501 * MS, short)
     assert [action[:2] for action in rec.take()] == [("reject", 3)]
     assert len(node.queue.waiting) == 1
-    queue(node, rec, 502 * MS, 5)
+    enqueue_request(node, rec, 502 * MS, 5)
     assert [
         action[1] for action in end(node, rec, 503 * MS, 1, 0, out[0][2], Outcome.OK)
     ] == [4]
-    node.timer(504 * MS, short)  # timers cannot be withdrawn
+    node.timer(504 * MS, short)  # Timers cannot be cancelled.
     assert rec.take() == []
 
 
-def test_what_waits_in_the_queue_is_sent_by_the_list_that_holds_then():
-    node, rec, out = full()
-    queue(node, rec, MS, 3)
+def test_queued_request_is_sent_by_the_endpoint_list_in_force_then():
+    node, rec, out = instance_at_limit()
+    enqueue_request(node, rec, MS, 3)
     other = 3 - out[0][2]
     node.update_endpoints(
         2 * MS,
@@ -90,11 +91,12 @@
 @pytest.mark.parametrize(
     "outcome", [Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.OK]
 )
-def test_a_server_that_goes_while_a_body_flows_to_it_is_known_until_that_call_ends(
+def test_endpoint_removed_during_an_upload_is_tracked_until_the_call_ends(
     outcome,
 ):
-    """Failure prevented: what became of the call is booked nowhere, so an unsafe request runs twice, and a
-    call that was begun there counts against the limit for ever.
+    """Guards against an outcome that is not recorded because the endpoint is no longer listed.
+
+    An unsafe request would then run twice, and a call started there would count as in flight forever.
     """
     node, rec = balancer(4)
     node.request(0, 1, 2, 0, 3 * SEC, False, complete=False)
@@ -103,8 +105,9 @@
         MS, ListUpdateKind.CHANGES, [EndpointEntry(sent[2], EndpointState.DRAINING)]
     )
     node.table.forget_idle()
-    whole = outcome != Outcome.ERROR  # this one is answered before all of it has come
-    if whole:
+    # An error arrives before the body is complete.
+    body_complete = outcome != Outcome.ERROR
+    if body_complete:
         node.request_complete(2 * MS, 1)
         assert node.limit.in_flight == 1
     node.outcome(3 * MS, 1, 0, sent[2], outcome, MS, outcome == Outcome.OK, ())
@@ -117,10 +120,10 @@
     assert sent[2] not in node.table.endpoints
 
 
-@pytest.mark.parametrize("group", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
-def test_a_repeat_goes_to_the_group_that_its_first_attempt_was_sent_to(group):
-    """Failure prevented: the server is listed in another group meanwhile, which discards no repeat of it."""
-    keyed = replace(KEYED, deduplication_scope=group)
+@pytest.mark.parametrize("scope", [DeduplicationScope.CELL, DeduplicationScope.ZONE])
+def test_repeat_goes_to_the_deduplication_scope_of_its_first_attempt(scope):
+    """Guards against a repeat in the scope to which the endpoint has moved, where it is no duplicate."""
+    keyed = replace(KEYED, deduplication_scope=scope)
     entries = [EndpointEntry(i, cell=i % 2, zone=i % 2) for i in range(1, 9)]
     node, rec = balancer(entries, classes=(keyed,))
     _, _, first, _ = ask(node, rec, 0, 1)
@@ -136,35 +139,37 @@
 
 
 @pytest.mark.parametrize("window", [50 * MS, 300 * MS, 2 * SEC, 10 * SEC])
-@pytest.mark.parametrize("group", list(DeduplicationScope))
-def test_the_window_runs_from_the_first_attempt_that_may_have_run(window, group):
-    """At its edges, in virtual time: from the sending of that attempt, whatever came before or after it."""
+@pytest.mark.parametrize("scope", list(DeduplicationScope))
+def test_idempotency_window_starts_with_the_first_attempt_that_may_have_run(
+    window, scope
+):
+    """Tests the edges of the window, which starts when that attempt is sent."""
     keyed = replace(
         KEYED,
-        deduplication_scope=group,
+        deduplication_scope=scope,
         idempotency_window=window,
         latency_objective=30 * SEC,
         deadline=60 * SEC,
     )
-    for late, repeated in ((-1, True), (0, False), (1, False)):
+    for offset, is_repeated in ((-1, True), (0, False), (1, False)):
         node, rec = balancer(6, classes=(keyed,), max_attempts=5)
         node.latency.mean_rtt[0] = 1.0
         _, _, server, _ = ask(node, rec, 0, 1, left=60 * SEC)
-        # Turned away: it never ran, and no window runs yet.
+        # The first attempt is rejected: it never ran, so the window has not started.
         ((_, _, server, _),) = end(node, rec, 5 * MS, 1, 0, server, Outcome.REJECTED)
-        # May have run; a further one, half a window later, is turned away; the next one comes at the edge.
-        began = 5 * MS
+        # The second attempt may have run and fails after half a window. The third is rejected at the edge.
+        executed_at = 5 * MS
         ((_, _, server, _),) = end(
-            node, rec, began + window // 2, 1, 1, server, Outcome.ERROR
+            node, rec, executed_at + window // 2, 1, 1, server, Outcome.ERROR
         )
         ((name, *_),) = end(
-            node, rec, began + window + late, 1, 2, server, Outcome.REJECTED
+            node, rec, executed_at + window + offset, 1, 2, server, Outcome.REJECTED
         )
-        assert name == ("send" if repeated else "fail")
+        assert name == ("send" if is_repeated else "fail")
 
 
-def test_an_aim_of_one_microsecond_is_an_aim():
-    """Failure prevented: no part of it is left for a tier, and the event of the first answer is lost."""
+def test_latency_objective_of_one_microsecond_is_valid():
+    """Guards against an allowance of 0 for a tier, with which the first answer fails."""
     node, rec = balancer(
         2, classes=(replace(KEYED, latency_objective=1, deadline=SEC),)
     )
