--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -104,12 +104,11 @@
         self.in_flight = self.in_flight_sum = self.latency_sum = 0
         # The smoothed calls in flight are what the limit is compared with.
         self.smoothed_in_flight, self.smoothed_at = 0.0, now
-        # In every window since the start, calls in flight have come near the limit and latency has stayed
-        # within the target.
+        # In every window since the start, the calls in flight have reached half of the limit and latency has
+        # stayed within the target.
         self.ramping = True
-        self.lost_ratio = (
-            0.0  # Smoothed fraction of calls that ended without an answer.
-        )
+        # Smoothed fraction of calls that ended without an answer.
+        self.lost_ratio = 0.0
         # Smoothed calls in flight while latency is within the target.
         self.usual_in_flight = 0.0
         # The usual number at the last window whose latency was within the target.
@@ -393,7 +392,7 @@
         """Updates the usual number of calls in flight while latency is within the target.
 
         The usual number starts at 0. Until the first window that is above the target, or in which the calls
-        in flight stay far below the limit, it follows within RAMP_ROUND_TRIPS. Otherwise an instance that
+        in flight stay below half of the limit, it follows within RAMP_ROUND_TRIPS. Otherwise an instance that
         starts with full traffic would reject half of it.
 
         Args:
