--- a/loadbalancer/policy/endpoint_selection.py
+++ b/loadbalancer/policy/endpoint_selection.py
@@ -1,7 +1,7 @@
-"""Which endpoint takes an attempt: the better of two random choices, within zone, scope and preference.
+"""Selects the endpoint of an attempt: the better of two random choices within zone, scope and preference.
 
-Of two members drawn at random the one with fewer of this instance's calls in flight, in expected time, takes
-the call; slow ones are passed over as often as they are slower.
+Two members are drawn at random, and the one on which this instance's calls in flight take less expected time
+gets the call. Slow members are skipped in the draw in proportion to their slowness.
 """
 
 from __future__ import annotations
@@ -15,19 +15,29 @@
 from loadbalancer.policy.slow_start import SlowStart
 from loadbalancer.policy.subset import Subset
 
-DRAWS = 3  # pairs that are drawn before any member is taken that may be sent the call
-PASSES_MOST = 10  # so many members may be passed over for being slow
-# Where weights are known, less counts as less from so many times on
+# Pairs that are drawn before the first member of the pool that may be sent the call is selected.
+MAX_PAIR_DRAWS = 3
+# Members that a draw may skip for slowness or a low weight.
+MAX_SKIPS = 10
+# With weights known, a load counts as lower only if the other one is more than this many times as high.
 WEIGHTED_TIE_RATIO = 1.25
-# Endpoints looked at for a repeat where no known one is in its scope
-SCOPE_CANDIDATES = 24
-# A preferred endpoint takes so many times a member's part of the limit...
-PREFERRED_SHARE = 2.0
-PREFERRED_LEAST = 2  # ...and so many calls of this instance at the least
+# Listed endpoints that are considered for a retry when no known endpoint is in its deduplication scope.
+MAX_SCOPE_CANDIDATES = 24
+# Bound on this instance's calls at a preferred endpoint, as a multiple of a member's share of the limit.
+PREFERRED_LIMIT_RATIO = 2.0
+# Smallest bound on this instance's calls at a preferred endpoint.
+MIN_PREFERRED_CALLS = 2
 
 
 class EndpointSelector:
-    """Picks the endpoint of an attempt."""
+    """Selects the endpoint of an attempt.
+
+    Attributes:
+        tie_ratio: The load of the first endpoint of a pair has to exceed that of the second by this factor
+            for the second to be selected; 1, or WEIGHTED_TIE_RATIO while weights are known.
+        preferred_taken: First attempts that were sent to a preferred endpoint.
+        preferred_full: First attempts for which no preferred endpoint had capacity.
+    """
 
     def __init__(
         self,
@@ -37,7 +47,15 @@
         outliers: OutlierDetector,
         priority: ClassPriority,
     ) -> None:
-        """Joins the rules that bear on the choice."""
+        """Creates a selector.
+
+        Args:
+            subset: The members of this instance.
+            table: The endpoints that this instance keeps state of.
+            slow_start: Limits the calls to cold and overloaded endpoints.
+            outliers: Ejects endpoints and schedules their trials.
+            priority: Tells which request classes take precedence over another class.
+        """
         self.context = subset.context
         self.limit = subset.limit
         self.subset = subset
@@ -49,11 +67,16 @@
         self.latency = outliers.latency
         self.priority = priority
         self.tie_ratio = 1.0
-        self.preferred_taken = 0  # first attempts at a preferred endpoint...
-        self.preferred_full = 0  # ...and those for which none had capacity
+        self.preferred_taken = 0
+        self.preferred_full = 0
 
     def select(self, now: int, request: Request) -> Endpoint | None:
-        """The endpoint of the request's next attempt, or None if none may take it."""
+        """Returns the endpoint of the request's next attempt, or None if no endpoint may take it.
+
+        Args:
+            now: The time in microseconds.
+            request: The request.
+        """
         urgent = self.priority.urgent[request.class_index]
         if (
             request.executed_by is not None
@@ -83,7 +106,7 @@
     # ---- groups of candidates ----
 
     def draw_trial(self, now: int, request: Request, urgent: bool) -> Endpoint | None:
-        """An ejected endpoint whose trial is due."""
+        """Returns an ejected endpoint whose trial is due and starts the trial, or returns None."""
         for endpoint in self.outliers.trial_candidates(now, request.idempotency):
             if self.slow_start.may_send(now, endpoint, urgent):
                 self.outliers.start_trial(now, endpoint)
@@ -93,12 +116,13 @@
     def draw_preferred(
         self, now: int, request: Request, urgent: bool
     ) -> Endpoint | None:
-        """One of the endpoints whose caches may hold what is asked for, while it has capacity.
+        """Returns an endpoint whose cache may hold the requested data, while it has capacity, or None.
 
-        Without the bound all that ask for one key would wait at two endpoints while the others are idle.
+        Without the bound on its calls, all requests for one key would wait at two endpoints while the others
+        are idle.
         """
-        part = self.limit.allowed() / max(1, len(self.subset.eligible))
-        most = max(PREFERRED_LEAST, PREFERRED_SHARE * part)
+        member_share = self.limit.allowed() / max(1, len(self.subset.eligible))
+        max_calls = max(MIN_PREFERRED_CALLS, PREFERRED_LIMIT_RATIO * member_share)
         zones = {zone for zone, share in self.zones.decision.shares if share > 0}
         endpoints = self.table.endpoints
         known = [
@@ -111,7 +135,7 @@
             for endpoint in known
             if endpoint.is_member
             and not endpoint.outside_limit
-            and endpoint.in_flight < most
+            and endpoint.in_flight < max_calls
             and (not zones or endpoint.zone in zones)
         ]
         endpoint = self.draw_two(now, pool, urgent)
@@ -122,10 +146,11 @@
         return endpoint
 
     def draw_by_zone(self, now: int, urgent: bool) -> Endpoint | None:
-        """From one zone by the decision's shares; where it has none for the call, from the others in order.
+        """Returns an endpoint of a zone that is drawn by the decision's shares.
 
-        Where the decision rejects calls there is no second choice, or what a limit keeps out of a zone
-        would come there all the same.
+        If that zone has no endpoint that may take the call, the other zones follow in order of preference.
+        While the decision rejects calls there is no such fallback, because it would send a zone the calls
+        that the spill limit keeps out of it.
         """
         decision = self.zones.decision
         zones, shares = zip(*decision.shares, strict=True)
@@ -141,7 +166,11 @@
     def draw_in_scope(
         self, now: int, request: Request, urgent: bool
     ) -> Endpoint | None:
-        """For a repeat of a request that may have run: one that would discard it as a duplicate."""
+        """Returns an endpoint for a retry of a keyed request that may have run, or None.
+
+        The endpoint shares the deduplication scope of the first one, so it discards the retry if it is a
+        duplicate.
+        """
         first = request.executed_by
         assert first is not None
         scope = request.settings.classes[request.class_index].deduplication_scope
@@ -154,13 +183,13 @@
             and (0, endpoint.zone, endpoint.cell)[scope] == request.scope_ids[scope]
         ]
         if not pool:
-            # Each such repeat adds to what is known, so something is given up first.
+            # Each such retry adds endpoints to the table, so idle ones are dropped first.
             self.table.forget_idle()
             listed = self.subset.endpoint_list.in_scope(
                 scope,
                 *request.scope_ids[1:],
                 self.context.rng.random(),
-                SCOPE_CANDIDATES,
+                MAX_SCOPE_CANDIDATES,
             )
             pool = [
                 self.table.learn_of(now, each) for each in listed if each.id != first.id
@@ -170,23 +199,29 @@
     # ---- the draw ----
 
     def draw_two(self, now: int, pool: list[Endpoint], urgent: bool) -> Endpoint | None:
-        """The less loaded of two random endpoints of the pool that may be sent a call.
+        """Returns the less loaded of two random endpoints of the pool, or None if none may be sent a call.
 
-        Only a load that is less by `tie_ratio` wins: else all calls would go, of idle members, to whoever
-        answered sooner of late, by chance. After DRAWS pairs the first is taken that may be sent one.
+        The second endpoint wins only if its load is lower by more than the factor `tie_ratio`. Otherwise,
+        among idle members, all calls would go to the one that happened to answer faster recently. After
+        MAX_PAIR_DRAWS pairs the first endpoint of the pool that may be sent a call is returned.
+
+        Args:
+            now: The time in microseconds.
+            pool: The candidates.
+            urgent: Whether some class has a lower priority than that of the request.
         """
         may_send = self.slow_start.may_send
         if len(pool) <= 1:
             return pool[0] if pool and may_send(now, pool[0], urgent) else None
         eject_if_silent = self.outliers.eject_if_silent
         mean_rtt = min(self.latency.mean_rtt)
-        for _ in range(DRAWS):
+        for _ in range(MAX_PAIR_DRAWS):
             better = self.pick(now, pool, mean_rtt)
             worse = self.pick(now, pool, mean_rtt, better)
             worse_load = worse.load(now, mean_rtt)
             if worse_load * self.tie_ratio < better.load(now, mean_rtt):
                 better, worse = worse, better
-            # Both are checked before either may be sent the call.
+            # Both are checked for silence before either may be sent the call.
             worse_silent = eject_if_silent(now, worse)
             if not eject_if_silent(now, better) and may_send(now, better, urgent):
                 return better
@@ -204,15 +239,22 @@
         mean_rtt: float,
         other: Endpoint | None = None,
     ) -> Endpoint:
-        """A random endpoint of the pool but `other`.
+        """Returns a random endpoint of the pool other than `other`.
+
+        An endpoint that is slower than the mean is skipped in proportion to its slowness, and one with a
+        weight below 1 in proportion to the missing weight. Without this, two slow endpoints of a small
+        subset would be drawn together every few calls. After MAX_SKIPS draws the last endpoint drawn is
+        returned, unless it is `other`.
 
-        One slower than the mean is passed over as often as it is slower, and one of a lesser weight by
-        what it lacks: of few members two slow ones would be drawn together each few calls. After
-        PASSES_MOST passes whoever comes is taken.
+        Args:
+            now: The time in microseconds.
+            pool: The candidates; at least two.
+            mean_rtt: The mean round-trip time of the subset, in microseconds.
+            other: The endpoint that was drawn first, if any.
         """
         random = self.context.rng.random
         while True:
-            for _ in range(PASSES_MOST):
+            for _ in range(MAX_SKIPS):
                 endpoint = pool[int(random() * len(pool))]
                 if endpoint is other:
                     continue
--- a/loadbalancer/policy/list_updates.py
+++ b/loadbalancer/policy/list_updates.py
@@ -106,7 +106,7 @@
 
     def refill(self, now: int) -> None:
         """Takes the members anew from the list."""
-        listed = self.subset.take_slices()
+        listed = self.subset.select_slices()
         if self.subset.is_current(listed):
             self.subset.update_capacity(now)
             return
--- a/loadbalancer/policy/subset.py
+++ b/loadbalancer/policy/subset.py
@@ -1,9 +1,10 @@
-"""The subset of the listed endpoints that this instance uses.
+"""Selects the subset of the listed endpoints that this instance uses.
 
-All instances of a tier share one order of the endpoints, and each takes its slice of it: a small one, wider
-the more calls it has in flight. The slices start evenly spaced, so each endpoint belongs to as many
-instances as any other, to within one, without a message between them; a new endpoint gets its part as
-soon as it is listed, and a change of the list moves at most one further member for each kind of machine.
+All instances of a tier share one order of the endpoints, and each uses a slice of it, whose size grows with
+the instance's calls in flight. The slices start evenly spaced, so the numbers of instances that use any two
+endpoints differ by at most one, without messages between instances. A new endpoint gets its share of the
+calls as soon as it is listed, and a change of the list moves at most one further member for each kind of
+machine.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 from loadbalancer.policy.zone_routing import ZoneRouting
 from loadbalancer.policy.zone_spill import ZoneSpill
 
-# Members of the subset: of an instance that has hardly any call in flight...
+# Smallest number of members, of an instance with hardly any call in flight.
 SUBSET_LEAST = 4
-# ...at the most, of one with no more than its part of the traffic...
+# Largest number of members of an instance that has at most its fair share of the traffic.
 SUBSET_MOST = 24
-# ...and at the very most, of one with several times its part, or where instances are few.
+# Largest number of members of an instance with several times its fair share, or where instances are few.
 SUBSET_BOUND = 128
-MEMBERS_PER_CALL = 2  # in between: so many for each call in flight
-IN_FLIGHT_SMOOTHING = 0.05  # weight of the newest sample in the mean calls in flight
-SHRINK_RATIO, GROWTH_RATIO = (
-    0.5,
-    1.25,
-)  # beyond these parts of its size it is taken anew
-# For so many the capacity is summed up a window later
+# Members for each call in flight, between the smallest and the largest number.
+MEMBERS_PER_CALL = 2
+# Weight of the newest sample in the mean number of calls in flight.
+IN_FLIGHT_SMOOTHING = 0.05
+# The members are selected again when the target size leaves this range, relative to the present size.
+SHRINK_RATIO, GROWTH_RATIO = 0.5, 1.25
+# The capacity update is delayed by one window for each of this many endpoints that may be cold.
 YOUNG_ENDPOINTS_PER_WINDOW = 1000
 
 Kinds = dict[int, RankedOrder[ListedEndpoint]]
@@ -39,16 +40,20 @@
 def subset_slice(
     endpoint_list: EndpointList, kinds: Kinds, index: int, instances: int, size: int
 ) -> list[ListedEndpoint]:
-    """One instance's slice of a zone, from an order in which the machines of each kind lie evenly.
+    """Returns one instance's slice of a zone's endpoints.
 
-    Were the kinds not even, an instance's few members could by chance all be of a slow kind.
+    The slice is taken from an order over which the endpoints of each kind of machine are spread evenly.
+    Otherwise an instance's few members could by chance all be of a slow kind.
 
     Args:
-        endpoint_list: Tells which endpoints of an order are still valid.
+        endpoint_list: The list, which says which endpoints of an order are still valid.
         kinds: The zone's orders, by kind of machine.
-        index: The instance's place among all that share the endpoints.
-        instances: How many share them.
-        size: How many endpoints are wanted.
+        index: The position of the instance among those that share the endpoints.
+        instances: The number of instances that share the endpoints.
+        size: The number of endpoints to select.
+
+    Returns:
+        The valid endpoints of the slice. There may be more or fewer of them than `size`.
     """
     orders = [order for _, order in sorted(kinds.items())]
     shifts = [shuffle(kind, 0) / 2**64 for kind in sorted(kinds)]
@@ -66,15 +71,22 @@
         found = endpoint_list.valid(found)
         if len(found) >= min(size, SUBSET_LEAST) or size == total:
             return found
-        # Most of what stands here was left out of the list and has not yet been swept.
+        # Most endpoints of this slice were left out of the last full list and await the sweep.
         size = min(2 * size, total)
 
 
 def slice_end(total: int, index: int, instances: int, size: int) -> int:
-    """The rank after the last endpoint of a slice.
+    """Returns the rank after the last endpoint of a slice.
+
+    An instance's part is the stretch from its start to the next instance's start. Where the slice would not
+    become much longer, it is extended to the end of a part. Otherwise some endpoints would lie in one slice
+    more than others and get correspondingly more calls.
 
-    Where a slice of whole parts is not much longer it ends with a part, or some endpoints would lie in
-    one slice more than others and get as much more to do.
+    Args:
+        total: The number of endpoints in the order.
+        index: The position of the instance.
+        instances: The number of instances that share the endpoints.
+        size: The number of endpoints to select.
     """
     if total <= max(SUBSET_LEAST, size // 2) * instances:
         return (index - -size * instances // total) * total // instances
@@ -82,7 +94,23 @@
 
 
 class Subset:
-    """The members, in groups by zone, and what all endpoints together can do."""
+    """Holds the members of the subset, grouped by zone, and updates the capacity of the concurrency limit.
+
+    Attributes:
+        endpoint_list: The listed endpoints.
+        limit: The concurrency limit of this instance.
+        reports: The queue lengths that endpoints report.
+        zones: The decisions of the zone policy.
+        spill: The share of calls that leave the zone where no zone policy decides.
+        members: The members of the subset.
+        listed_members: The list entries of the members.
+        eligible: The members that are not ejected and may be drawn.
+        eligible_by_zone: The eligible members by zone.
+        local: The eligible members of the own zone.
+        size: The target size at the last selection of members.
+        mean_in_flight: The smoothed number of calls in flight.
+        next_capacity_update: When the capacity is next summed up, in microseconds.
+    """
 
     def __init__(
         self,
@@ -91,7 +119,7 @@
         zones: ZoneRouting,
         spill: ZoneSpill,
     ) -> None:
-        """Starts without a member."""
+        """Starts with no members; the arguments are described with the attributes."""
         self.context = zones.context
         self.endpoint_list = endpoint_list
         self.limit = reports.limit
@@ -100,19 +128,20 @@
         self.spill = spill
         self.members: list[Endpoint] = []
         self.listed_members: list[ListedEndpoint] = []
-        self.eligible: list[Endpoint] = []  # members that may be drawn...
+        self.eligible: list[Endpoint] = []
         self.eligible_by_zone: dict[int, list[Endpoint]] = {}
-        self.local: list[Endpoint] = []  # ...and those of them in the own zone
-        self.size = SUBSET_LEAST  # wanted when the members were last taken
-        self.mean_in_flight = 0.0  # calls, smoothed
+        self.local: list[Endpoint] = []
+        self.size = SUBSET_LEAST
+        self.mean_in_flight = 0.0
         self.next_capacity_update = 0
 
     # ---- size ----
 
     def observe(self) -> bool:
-        """Takes in the calls in flight; True if the members are to be taken anew.
+        """Samples the calls in flight and returns whether the members need to be selected again.
 
-        An instance that suddenly gets a large part of the traffic would crowd a few endpoints.
+        Without this an instance that suddenly gets a large part of the traffic would overload its few
+        members.
         """
         in_flight = self.limit.in_flight
         self.mean_in_flight += IN_FLIGHT_SMOOTHING * (in_flight - self.mean_in_flight)
@@ -120,12 +149,12 @@
         return not self.size * SHRINK_RATIO <= target <= self.size * GROWTH_RATIO
 
     def target_size(self) -> int:
-        """How many members the calls in flight ask for.
+        """Returns the number of members that suits the calls in flight.
 
-        An instance with several times its part of the traffic may have more than SUBSET_MOST, or it would
-        have one call at each crowded member and reject the rest. Were all to widen in a shortage,
-        endpoints would have more such calls. SUBSET_LEAST keeps an idle instance from depending on few
-        endpoints, half of which may be cold.
+        An instance with several times its fair share of the traffic may have more than SUBSET_MOST members.
+        Otherwise it would have one call at each overloaded member and reject the rest. Not every instance
+        may widen its subset during a shortage, because endpoints would then get more such calls.
+        SUBSET_LEAST keeps an idle instance from depending on very few endpoints, half of which may be cold.
         """
         settings = self.context.settings
         reported = self.reports.mean_of_members * len(self.endpoint_list)
@@ -136,11 +165,14 @@
         return max(settings.min_subset_size, min(most, wanted))
 
     def size_of(self, kinds: Kinds) -> int:
-        """How many of a zone's endpoints this instance uses.
+        """Returns how many of a zone's endpoints this instance uses.
+
+        Where instances are few, each uses its entire part of the order, or most of a large fleet would be
+        idle. A zone with few endpoints is used completely: a sole instance that has just started would
+        overload four of ten endpoints and reject what the six others could take.
 
-        Where instances are few, each takes its whole part, or most of a large fleet would stand idle. Of
-        few endpoints all are taken: an instance that starts alone would crowd four of ten and reject what
-        the six others bear.
+        Args:
+            kinds: The zone's orders, by kind of machine.
         """
         total = sum(map(len, kinds.values()))
         settings = self.context.settings
@@ -151,10 +183,10 @@
 
     # ---- members ----
 
-    def take_slices(self) -> list[ListedEndpoint]:
-        """This instance's slices of all zones, each of a size of its own.
+    def select_slices(self) -> list[ListedEndpoint]:
+        """Returns this instance's slices of all zones, each with its own size.
 
-        A subset over all zones at once could have one member, or none, where calls should stay.
+        A single subset over all zones could have one member, or none, in the zone that calls should stay in.
         """
         self.size = self.target_size()
         return [
@@ -169,7 +201,10 @@
         ]
 
     def is_current(self, listed: list[ListedEndpoint]) -> bool:
-        """Whether these are the members already, as after most changes of a large fleet."""
+        """Returns whether these endpoints are the members already.
+
+        This is so after most changes of a large fleet's list.
+        """
         return listed == self.listed_members and all(
             member.is_member for member in self.members
         )
@@ -177,7 +212,12 @@
     def replace_members(
         self, listed: list[ListedEndpoint], members: list[Endpoint]
     ) -> None:
-        """Makes these endpoints the members. The caller regroups them afterwards."""
+        """Replaces the members. The caller calls `regroup` afterwards.
+
+        Args:
+            listed: The list entries of the new members.
+            members: The new members, in the same order.
+        """
         for member in self.members:
             member.is_member = False
         self.listed_members, self.members = listed, members
@@ -185,10 +225,10 @@
             member.is_member = True
 
     def regroup(self) -> None:
-        """Sorts the members that may be drawn by zone, after an ejection, a readmission or a change.
+        """Regroups the eligible members by zone, after an ejection, a readmission or a change of members.
 
-        Calls of an ejected member do not count against the limit: calls stuck on a silent one would fill
-        it for all others.
+        Calls at an ejected member do not count against the concurrency limit. Otherwise calls that hang at a
+        silent member would use up the limit for all others.
         """
         self.eligible = []
         for member in self.members:
@@ -210,9 +250,14 @@
     # ---- capacity ----
 
     def update_capacity(self, now: int) -> None:
-        """Tells the limit how many endpoints all instances have, a cold one by what it can do as yet.
+        """Updates the concurrency limit with the capacity of all endpoints and of the members.
+
+        The capacity is counted in warm endpoints; a cold endpoint counts as the fraction that it can take
+        so far. The sum visits every endpoint that may be cold, so it is updated less often the more of them
+        there are.
 
-        It looks at each endpoint that may be cold, so it runs the less often the more there are.
+        Args:
+            now: The time in microseconds.
         """
         settings = self.context.settings
         total = max(1, len(self.endpoint_list))
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -21,7 +21,7 @@
     TenantSettings,
 )
 from loadbalancer.policy.balancer import Balancer
-from loadbalancer.policy.slow_start import OVERLOAD_PART, WARM_TIME_US
+from loadbalancer.policy.slow_start import OVERLOAD_FRACTION, WARM_RATE_SMOOTHING_US
 
 MAY_HAVE_RUN = [o for o in Outcome if o not in NEVER_RAN and o != Outcome.OK]
 
@@ -944,7 +944,10 @@
     node, _rec = balancer(
         [EndpointEntry(1), EndpointEntry(2, started_at=10 * SEC)], seed=2
     )
-    node.slow_start.warm_rate, node.slow_start.learned_for = 30.0, WARM_TIME_US
+    node.slow_start.warm_rate, node.slow_start.learned_for = (
+        30.0,
+        WARM_RATE_SMOOTHING_US,
+    )
     node.limit.sample_rtt_ratio = 2.0
     node.calls.window_at = node.outliers.next_trial_at = 10 * SEC
     for sent in (1, 40):
@@ -962,7 +965,7 @@
     rate = (
         node.slow_start.warm_rate
         * BASE.overload_multiple
-        * OVERLOAD_PART
+        * OVERLOAD_FRACTION
         * (0.4 + 0.6 * 2 / 4)
     )
     assert not node.slow_start.may_send(
@@ -1065,7 +1068,7 @@
 
     assert wait(3.0) == pytest.approx(1 / rate, rel=0.01)
     assert wait(6.0) == pytest.approx(
-        1 / (rate * BASE.overload_multiple * OVERLOAD_PART), rel=0.01
+        1 / (rate * BASE.overload_multiple * OVERLOAD_FRACTION), rel=0.01
     )
 
 
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -33,7 +33,7 @@
 )
 from loadbalancer.policy.excess_rejection import rejected_parts
 from loadbalancer.policy.zone_failover import (
-    LEARN_TIME_US,
+    MIN_OBSERVED_TIME_US,
     ZoneFailover,
     ZoneFailoverRules,
 )
@@ -90,7 +90,9 @@
 
 def test_calls_stay_in_their_zone_while_it_bears_them():
     site = Site(ZoneFailoverRules())
-    assert site.run(LEARN_TIME_US / SEC - 1).shares == ()  # it has only looked on
+    assert (
+        site.run(MIN_OBSERVED_TIME_US / SEC - 1).shares == ()
+    )  # it has only looked on
     verdict = site.run(10)
     assert shares(verdict) == {A: 1.0, B: 0.0, C: 0.0}
     assert not any(verdict.reject)
