--- a/loadbalancer/policy/endpoint.py
+++ b/loadbalancer/policy/endpoint.py
@@ -1,4 +1,4 @@
-"""What one instance knows of one endpoint. Times are microseconds."""
+"""The state that one instance keeps of one endpoint. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     RunningMean,
 )
 
-# An endpoint that fails all its calls counts as so many times slower
+# Slowness that a failure rate of 1 adds, as a multiple of the endpoint's own latency.
 FAILURE_SLOWNESS = 8
-# An endpoint's own speed is forgotten after so long without an outcome
+# Time without an outcome after which an endpoint's own latency no longer counts.
 LATENCY_MEMORY_US = 5_000_000
 
 
@@ -21,31 +21,31 @@
     """The state that the policy keeps of one endpoint.
 
     Attributes:
-        id: Its number in the endpoint list.
+        id: The endpoint's number in the endpoint list.
         kind_id: The number of its kind of machine.
-        kind_latency: Round trips of endpoints of this kind, relative to the mean of the request's class.
-        cell: The cell it is in.
-        zone: The zone it is in.
+        kind_latency: Round-trip time of endpoints of this kind, relative to the mean of the request's class.
+        cell: The number of its cell.
+        zone: The number of its zone.
         started_at: When its process started; 0 if long ago.
-        own_latency: Its own round trips, relative to its kind's.
+        own_latency: Its round-trip time, relative to that of its kind.
         listed: Whether the endpoint list has it as ready.
         is_member: Whether it is in this instance's subset.
-        in_flight: Calls of this instance that it works on.
-        ejected: Whether it is out of the draws as an outlier.
-        trial_pending: Whether the one trial call of an ejected endpoint is out.
+        in_flight: Calls of this instance that are in flight at the endpoint.
+        ejected: Whether it is excluded from the draws as an outlier.
+        trial_pending: Whether the trial call of the ejected endpoint is in flight.
         outside_limit: Whether its calls do not count against the concurrency limit.
-        last_progress_at: When an outcome last came, or its first call in flight began.
-        failure_rate: Share of its calls that fail, smoothed.
+        last_progress_at: When the last outcome arrived, or when a call was sent to the then idle endpoint.
+        failure_rate: The fraction of its calls that fail, smoothed.
         consecutive_failures: Failures since its last answer.
         ended_calls: Calls whose end was counted.
-        silent: Whether it was ejected because it answered nothing.
+        silent: Whether it was ejected because it did not answer.
         trial_at: When its next trial may be sent.
-        ejections: Ejections that count for the length of the next one.
+        ejections: The number of ejections that determines the length of the next one.
         warming_until: When its slow start ends; 0 if it is warm.
         tokens: Calls that it may be sent now during its slow start.
-        tokens_at: When `tokens` was brought up to date.
-        reported_queue: Requests that it holds, of all instances, as far as is known.
-        weight: The share of its draws that stand, above 0 up to 1.
+        tokens_at: When `tokens` was last updated.
+        reported_queue: Requests of all instances that it holds, as last reported or estimated.
+        weight: The fraction of its draws that is accepted, above 0 up to 1.
     """
 
     id: int
@@ -78,7 +78,7 @@
         self.restart(self.started_at)
 
     def restart(self, started_at: int) -> None:
-        """Forgets what was learned of the former process.
+        """Resets what was learned about the previous process of the endpoint.
 
         Args:
             started_at: When the new process started, in microseconds.
@@ -91,20 +91,21 @@
         self.trial_at = self.warming_until = self.tokens_at = 0
 
     def count_failure(self) -> None:
-        """Counts a failed call in the failure rate and in the failures in a row."""
+        """Counts a failed call in the failure rate and in the consecutive failures."""
         self.failure_rate += ENDPOINT_SMOOTHING * (1 - self.failure_rate)
         self.consecutive_failures += 1
 
     def slowness(self, now: int, mean_rtt: float) -> float:
-        """The round trip expected of it, relative to the mean: by its kind, its own past and its failures.
+        """Returns the expected round-trip time, relative to the mean of the subset.
 
-        What is its own fades while no outcome comes, or an endpoint once found slow would never be drawn
-        again, and its estimate never renewed. One that has just turned slow counts by the time for which
-        its calls have been out.
+        The estimate combines the kind of machine, the endpoint's own latency and its failure rate. Its own
+        part fades while no outcome arrives. Otherwise an endpoint that was slow once would never be drawn
+        again, and its estimate would never be updated. An endpoint that has just become slow is rated by the
+        time since its last progress.
 
         Args:
             now: The time in microseconds.
-            mean_rtt: The mean round trip of the subset, in microseconds.
+            mean_rtt: The mean round-trip time of the subset, in microseconds.
         """
         silence = now - self.last_progress_at
         fade = max(0.0, 1 - silence / LATENCY_MEMORY_US)
@@ -115,5 +116,12 @@
         return slowness
 
     def load(self, now: int, mean_rtt: float) -> float:
-        """Calls in flight, the next one included, in expected time: what a draw compares."""
+        """Returns the calls in flight, including the next one, weighted by slowness.
+
+        Draws compare endpoints by this value.
+
+        Args:
+            now: The time in microseconds.
+            mean_rtt: The mean round-trip time of the subset, in microseconds.
+        """
         return (self.in_flight + 1) * self.slowness(now, mean_rtt)
--- a/loadbalancer/policy/endpoint_list.py
+++ b/loadbalancer/policy/endpoint_list.py
@@ -1,12 +1,13 @@
-"""The listed endpoints, in the orders that all instances share.
+"""Holds the listed endpoints in the orders that all instances share.
 
-Each kind of machine (and, where calls keep to their zone, each zone's part of it) is a `RankedOrder` by
-shuffled numbers, so that neither a change nor a look at a few touches the others. Each listed endpoint takes
-one `ListedEndpoint` and one place in an order, about 170 bytes, and 60 more for each deduplication scope.
+Each kind of machine has a `RankedOrder` by shuffled endpoint numbers; where calls stay in their zone, each
+kind has one order per zone. Neither a change nor a look-up of a few endpoints touches the others. Each
+listed endpoint takes one `ListedEndpoint` and one entry of an order, about 170 bytes, and 60 bytes more for
+each deduplication scope.
 
-A full list may come in parts. What is named counts at once; what the whole list leaves out is no longer
-valid as the last part is taken, and is swept out afterwards, so many at a time. Free of I/O, clock and
-randomness.
+A full list may arrive in parts. Endpoints that a part names are listed at once. Endpoints that the complete
+list leaves out become invalid when the last part is applied, and are removed afterwards by a sweep,
+SWEEP_STEP endpoints at a time. This module uses no I/O, clock or randomness.
 """
 
 from __future__ import annotations
@@ -16,26 +17,32 @@
 from loadbalancer.policy.api import DeduplicationScope, EndpointEntry
 from loadbalancer.policy.ranked_order import RankedOrder, shuffle
 
-SWEEP_STEP = 100  # endpoints looked at in one step of a sweep
-ALL_ZONES = -1  # in place of a zone's number where zones do not count
+SWEEP_STEP = 100  # endpoints that one step of a sweep examines
+ALL_ZONES = (
+    -1
+)  # replaces the zone's number in `EndpointList.orders` where zones are not separated
 
 
 class ListedEndpoint:
-    """What the list says of an endpoint that is ready.
+    """The list entry of an endpoint that is ready.
 
     Attributes:
         id: The endpoint's number.
-        cell: The cell it is in.
-        zone: The zone it is in.
-        kind: Its kind of machine.
+        cell: The number of its cell.
+        zone: The number of its zone.
+        kind: The number of its kind of machine.
         started_at: When its process started, in microseconds; 0 if long ago.
-        generation: The full list that named it last.
+        generation: The generation of the list that named it last.
     """
 
     __slots__ = ("cell", "generation", "id", "kind", "started_at", "zone")
 
     def __init__(self, entry: EndpointEntry) -> None:
-        """Takes the values of a list entry."""
+        """Copies the values of a received entry.
+
+        Args:
+            entry: An entry of a list update.
+        """
         self.id = entry.endpoint
         self.cell = entry.cell
         self.zone = entry.zone
@@ -48,17 +55,23 @@
     """All listed endpoints.
 
     Attributes:
-        by_zone: Whether each zone has orders of its own.
+        by_zone: Whether each zone has its own orders.
         scopes: The deduplication scopes in which endpoints can be looked up.
-        endpoints: By number, those that are valid and those not yet swept out.
-        ready: How many are listed, by zone.
-        young: Those that may be cold: with a time of start, until they are found to be warm.
-        orders: By zone and kind of machine.
-        receiving: Whether more parts of a full list are to come.
+        endpoints: The valid endpoints and those that still await the sweep, by number.
+        ready: The number of listed endpoints by zone.
+        young: Endpoints that may be cold: those with a start time, until they are found to be warm.
+        orders: The orders by zone and kind of machine.
+        scope_orders: The orders by deduplication scope and the number of the zone or cell.
+        generation: The number of full lists that were started; it marks the endpoints that are named since.
+        valid_from: Endpoints of a lower generation were left out by a full list and are invalid.
+        current_count: The number of endpoints of the present generation.
+        stale_count: The number of invalid endpoints that still await the sweep.
+        receiving: Whether further parts of a full list are expected.
+        unswept: The numbers of the endpoints that the present sweep has yet to examine; None without a sweep.
     """
 
     def __init__(self, by_zone: bool, scopes: frozenset[DeduplicationScope]) -> None:
-        """Starts empty; the arguments are described with the attributes."""
+        """Creates an empty list; the arguments are described with the attributes."""
         self.by_zone = by_zone
         self.scopes = scopes
         self.endpoints: dict[int, ListedEndpoint] = {}
@@ -68,11 +81,10 @@
         self.scope_orders: dict[
             tuple[DeduplicationScope, int], RankedOrder[ListedEndpoint]
         ] = {}
-        self.generation = 0  # of the full list that was begun last
-        # Endpoints of a lower generation were left out by a full list
+        self.generation = 0
         self.valid_from = 0
-        self.current_count = 0  # endpoints of the present generation
-        self.stale_count = 0  # endpoints that are not valid and not yet swept out
+        self.current_count = 0
+        self.stale_count = 0
         self.receiving = False
         self.unswept: Iterator[int] | None = None
 
@@ -80,7 +92,7 @@
         return len(self.endpoints) - self.stale_count
 
     def get(self, endpoint: int) -> ListedEndpoint | None:
-        """A listed endpoint, if it is there."""
+        """Returns a listed endpoint by its number, or None if it is not listed."""
         listed = self.endpoints.get(endpoint)
         if listed is None or listed.generation < self.valid_from:
             return None
@@ -89,7 +101,10 @@
     # ---- changes ----
 
     def put(self, entry: EndpointEntry) -> ListedEndpoint:
-        """Lists a ready endpoint. It moves only if it is new, or of another kind, zone or cell."""
+        """Adds or updates a ready endpoint and returns its list entry.
+
+        The endpoint's place in the orders changes only if its kind, zone or cell has changed.
+        """
         listed = self.endpoints.get(entry.endpoint)
         if listed is not None and (listed.zone, listed.kind, listed.cell) != (
             entry.zone,
@@ -110,7 +125,7 @@
         return listed
 
     def add(self, entry: EndpointEntry) -> ListedEndpoint:
-        """Puts a new endpoint into its orders."""
+        """Adds a new endpoint to its orders and returns its list entry."""
         listed = self.endpoints[entry.endpoint] = ListedEndpoint(entry)
         key = shuffle(entry.endpoint, 0)
         for order in self.orders_of(listed):
@@ -120,7 +135,7 @@
         return listed
 
     def remove(self, endpoint: int) -> None:
-        """Takes an endpoint out that is not ready, or gone; no matter if it was not listed."""
+        """Removes an endpoint that is gone or not ready. An endpoint that is not listed is ignored."""
         listed = self.endpoints.pop(endpoint, None)
         if listed is None:
             return
@@ -136,18 +151,18 @@
         self.drop_empty_orders(listed)
 
     def drop_empty_orders(self, listed: ListedEndpoint) -> None:
-        """Drops the orders that are empty since an endpoint was taken out."""
+        """Drops the orders that the removal of an endpoint has left empty."""
         zone = listed.zone if self.by_zone else ALL_ZONES
         if not len(self.orders[zone][listed.kind]):
             del self.orders[zone][listed.kind]
             if not self.orders[zone]:
                 del self.orders[zone]
-        for place in self.scope_keys(listed):
-            if not len(self.scope_orders[place]):
-                del self.scope_orders[place]
+        for scope_key in self.scope_keys(listed):
+            if not len(self.scope_orders[scope_key]):
+                del self.scope_orders[scope_key]
 
     def orders_of(self, listed: ListedEndpoint) -> list[RankedOrder[ListedEndpoint]]:
-        """The orders that an endpoint stands in, made where there is none yet."""
+        """Returns the orders that an endpoint belongs to, and creates those that do not exist yet."""
         zone = listed.zone if self.by_zone else ALL_ZONES
         kinds = self.orders.setdefault(zone, {})
         if listed.kind not in kinds:
@@ -155,15 +170,15 @@
         return [
             kinds[listed.kind],
             *(
-                self.scope_orders.setdefault(place, RankedOrder())
-                for place in self.scope_keys(listed)
+                self.scope_orders.setdefault(scope_key, RankedOrder())
+                for scope_key in self.scope_keys(listed)
             ),
         ]
 
     def scope_keys(
         self, listed: ListedEndpoint
     ) -> list[tuple[DeduplicationScope, int]]:
-        """The scopes by which an endpoint can be looked up, each with its number there."""
+        """Returns the keys of an endpoint's scope orders: the scope and the number of the zone or cell."""
         numbers = {
             DeduplicationScope.ALL: 0,
             DeduplicationScope.ZONE: listed.zone,
@@ -174,13 +189,13 @@
     # ---- full lists ----
 
     def begin(self) -> None:
-        """A full list begins."""
+        """Starts a full list."""
         self.generation += 1
         self.current_count = 0
         self.receiving = True
 
     def end(self) -> bool:
-        """A full list is complete: what it left out is not valid any more.
+        """Completes a full list; the endpoints that it left out become invalid.
 
         Returns:
             Whether a sweep is due.
@@ -192,7 +207,11 @@
         return self.unswept is not None
 
     def sweep(self) -> bool:
-        """Takes out the next few that were left out; True while more are to be looked at."""
+        """Examines the next SWEEP_STEP endpoints and removes the invalid ones.
+
+        Returns:
+            Whether the sweep has to go on.
+        """
         for _ in range(SWEEP_STEP):
             endpoint = next(self.unswept, None) if self.unswept is not None else None
             if endpoint is None:
@@ -206,7 +225,11 @@
     def rebuilt(
         self, by_zone: bool, scopes: frozenset[DeduplicationScope]
     ) -> EndpointList:
-        """The same endpoints in other orders: one pass over all, where changed settings need it."""
+        """Returns a list of the same endpoints in other orders, as changed settings may require.
+
+        The cost is one pass over all endpoints. The new list shares the endpoints with this one, which must
+        not be used any more. The arguments are described with the attributes.
+        """
         other = EndpointList(by_zone, scopes)
         other.generation, other.valid_from = self.generation, self.valid_from
         other.receiving, other.unswept = self.receiving, self.unswept
@@ -226,14 +249,14 @@
     def warm(
         self, now: int, slow_start_time: int, initial_share: float
     ) -> dict[int, float]:
-        """By zone, how many warm endpoints the listed ones are as good as.
+        """Returns the capacity of each zone's listed endpoints, counted in warm endpoints.
 
-        Endpoints found to be warm are not looked at again.
+        Endpoints that are found to be warm are not examined again.
 
         Args:
             now: The time in microseconds.
-            slow_start_time: How long an endpoint is cold, in microseconds.
-            initial_share: The share of its capacity that it starts with.
+            slow_start_time: The length of the slow start in microseconds.
+            initial_share: The fraction of its capacity that an endpoint starts with.
         """
         warm: dict[int, float] = {
             zone: float(count) for zone, count in self.ready.items()
@@ -251,7 +274,7 @@
         return warm
 
     def valid(self, found: list[ListedEndpoint]) -> list[ListedEndpoint]:
-        """Those that no full list has left out."""
+        """Returns the given endpoints without those that a full list has left out."""
         if not self.stale_count:
             return found
         return [listed for listed in found if listed.generation >= self.valid_from]
@@ -262,18 +285,18 @@
         zone: int,
         cell: int,
         start_share: float,
-        most: int,
+        limit: int,
     ) -> list[ListedEndpoint]:
-        """Endpoints that discard the duplicates of an endpoint in this zone and cell.
+        """Returns endpoints that discard duplicates of a request that an endpoint of this zone and cell ran.
 
         Args:
             scope: The deduplication scope.
-            zone: The first endpoint's zone.
-            cell: The first endpoint's cell.
-            start_share: Where in the order to start, from 0 up to 1.
-            most: How many to find.
+            zone: The zone of the endpoint that may have run the request.
+            cell: The cell of that endpoint.
+            start_share: Where in the order to start, as a fraction from 0 to below 1.
+            limit: The largest number of endpoints to return.
         """
         order = self.scope_orders.get((scope, (0, zone, cell)[scope]))
         if order is None:
             return []
-        return self.valid(order.window(int(start_share * len(order)), most))
+        return self.valid(order.window(int(start_share * len(order)), limit))
--- a/loadbalancer/policy/endpoint_selection.py
+++ b/loadbalancer/policy/endpoint_selection.py
@@ -192,7 +192,9 @@
                 MAX_SCOPE_CANDIDATES,
             )
             pool = [
-                self.table.learn_of(now, each) for each in listed if each.id != first.id
+                self.table.get_or_create(now, each)
+                for each in listed
+                if each.id != first.id
             ]
         return self.draw_two(now, pool, urgent)
 
--- a/loadbalancer/policy/endpoint_table.py
+++ b/loadbalancer/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints of which something is known: members, former members, and those with a call out."""
+"""Keeps the state of known endpoints: members, former members, and endpoints with a call in flight."""
 
 from __future__ import annotations
 
@@ -14,20 +14,25 @@
     RunningMean,
 )
 
-FORMER_MEMBERS_MOST = 64  # what was learned of so many former members is kept
+MAX_FORMER_MEMBERS = 64  # former members whose state is kept
 
 
 class EndpointTable:
-    """Endpoints by number, and the attempts that count in no endpoint's calls in flight.
+    """Holds the state of known endpoints, and the attempts that do not count as calls in flight.
 
     Attributes:
-        endpoints: What is known of each endpoint, by its number.
-        off_limit_attempts: By request, where an attempt is out that takes no place: its body is
-            incomplete, or its answer flows to the client.
+        slow_start: Starts the slow start of restarted endpoints.
+        outliers: Readmits endpoints that restart or leave the list.
+        reports: The queue lengths that endpoints report.
+        endpoints: The state of each known endpoint, by its number.
+        kinds: The latency of each kind of machine, by the kind's number.
+        weights: The weights of the draws, by the endpoint's number; 1 for endpoints without an entry.
+        off_limit_attempts: By request, the endpoint of an attempt that does not count as a call in flight,
+            because its body is incomplete or its answer is being streamed to the client.
     """
 
     def __init__(self, slow_start: SlowStart, outliers: OutlierDetector) -> None:
-        """Starts empty."""
+        """Creates an empty table; the arguments are described with the attributes."""
         self.slow_start = slow_start
         self.outliers = outliers
         self.reports = slow_start.reports
@@ -36,11 +41,15 @@
         self.weights: Mapping[int, float] = {}
         self.off_limit_attempts: dict[int, Endpoint] = {}
 
-    def learn_of(self, now: int, listed: ListedEndpoint) -> Endpoint:
-        """What is known of a listed endpoint, from now on at the least.
+    def get_or_create(self, now: int, listed: ListedEndpoint) -> Endpoint:
+        """Returns the state of a listed endpoint, and creates it for a new one.
 
-        A new one is taken to hold what endpoints hold on average, or an instance that takes in members of
-        which it knows nothing would send all it has to them.
+        A new endpoint, unless it is cold, is assumed to hold as many requests as endpoints hold on average.
+        Otherwise an instance that adds unknown members would send all its calls to them.
+
+        Args:
+            now: The time in microseconds.
+            listed: The endpoint's list entry.
         """
         endpoint = self.endpoints.get(listed.id)
         if endpoint is None:
@@ -64,7 +73,10 @@
         return endpoint
 
     def update(self, now: int, endpoint: Endpoint, listed: ListedEndpoint) -> None:
-        """Takes in what the list says of an endpoint of which something is known."""
+        """Updates the state of a known endpoint from its list entry.
+
+        A new start time means that the process was restarted: the learned state is then reset.
+        """
         if endpoint.started_at != listed.started_at:
             if endpoint.ejected:
                 self.outliers.readmit(endpoint)
@@ -74,23 +86,23 @@
         self.slow_start.start_warming(now, endpoint, listed.started_at)
 
     def unlist(self, endpoint: Endpoint) -> None:
-        """The endpoint drains or is gone: nothing new goes to it from now on."""
+        """Marks an endpoint as draining or gone, so it gets no new calls."""
         endpoint.listed = False
         if endpoint.ejected:
             self.outliers.readmit(endpoint)
         endpoint.is_member = False
 
     def unlist_missing(self, endpoint_list: EndpointList) -> None:
-        """Unlists every endpoint that the list lacks."""
+        """Unlists every known endpoint that is not in the list."""
         for endpoint in self.endpoints.values():
             if endpoint_list.get(endpoint.id) is None:
                 self.unlist(endpoint)
 
     def forget_idle(self) -> None:
-        """Drops what is known of endpoints that are gone, and of all but the latest former members.
+        """Drops the state of endpoints that are gone, and of all but the latest MAX_FORMER_MEMBERS others.
 
-        An endpoint with a call out stays, also where that call takes no place: what became of it must be
-        counted, and tells whether a request may have run.
+        An endpoint with a call in flight stays, including a call that does not count as one, because the
+        call's outcome has to be counted and shows whether the request may have run.
         """
         off_limit = {endpoint.id for endpoint in self.off_limit_attempts.values()}
         idle = [
@@ -101,11 +113,11 @@
             )
         ]
         for index, endpoint in enumerate(idle):
-            if index < len(idle) - FORMER_MEMBERS_MOST or not endpoint.listed:
+            if index < len(idle) - MAX_FORMER_MEMBERS or not endpoint.listed:
                 del self.endpoints[endpoint.id]
 
     def update_weights(self, weights: Mapping[int, float] | None) -> None:
-        """Takes the weights of draws by endpoint; 1 for those that are not named."""
+        """Replaces the weights of the draws by endpoint number; 1 for endpoints without an entry."""
         self.weights = weights or {}
         for endpoint in self.endpoints.values():
             endpoint.weight = self.weights.get(endpoint.id, 1.0)
--- a/loadbalancer/policy/list_updates.py
+++ b/loadbalancer/policy/list_updates.py
@@ -1,4 +1,4 @@
-"""Takes updates of the endpoint list in, and the members of the subset anew."""
+"""Applies updates of the endpoint list and selects the members of the subset again."""
 
 from __future__ import annotations
 
@@ -16,15 +16,18 @@
 from loadbalancer.policy.outlier_detection import OutlierDetector
 from loadbalancer.policy.subset import Subset
 
-# The first backoff is this part of the longest silence allowed...
+# The first backoff is the poll interval divided by this value.
 BACKOFF_BASE_DIVISOR = 20
-BACKOFF_MOST_DIVISOR = 4  # ...and no later one is more than this part of it
+# The longest backoff, before jitter, is the poll interval divided by this value.
+BACKOFF_MAX_DIVISOR = 4
+# Largest number of times that the first backoff is doubled.
 BACKOFF_DOUBLINGS = 3
-BACKOFF_JITTER_LEAST = 0.5  # a backoff is drawn between this and 1.5 times its length
+# A backoff is multiplied by a random factor between this value and 1.5.
+BACKOFF_JITTER_MIN = 0.5
 
 
 def scopes_of(settings: Settings) -> frozenset[DeduplicationScope]:
-    """The scopes in which requests with a key are repeated."""
+    """Returns the deduplication scopes in which keyed requests are retried."""
     return frozenset(
         each.deduplication_scope
         for each in settings.classes
@@ -33,30 +36,38 @@
 
 
 class ListUpdates:
-    """Keeps the list, what is known of its endpoints, and the subset in step."""
+    """Keeps the endpoint list, the table of known endpoints and the subset consistent.
+
+    Attributes:
+        subset: The subset, which also holds the endpoint list.
+        table: The state of known endpoints.
+        outliers: The ejected members.
+        failed_polls: Failed polls since the last update other than a cached list.
+    """
 
     def __init__(
         self, subset: Subset, table: EndpointTable, outliers: OutlierDetector
     ) -> None:
-        """Starts with an empty list."""
+        """Starts without a failed poll; the arguments are described with the attributes."""
         self.context = subset.context
         self.subset = subset
         self.table = table
         self.outliers = outliers
-        self.failed_polls = 0  # since the last list
+        self.failed_polls = 0
 
     def poll_backoff(self) -> int:
-        """Counts a failed poll; when to poll again, in microseconds, with jitter.
+        """Counts a failed poll and returns the delay of the next one in microseconds, with jitter.
 
-        The backoff doubles with each failure and stays well inside the longest silence allowed.
+        The backoff doubles with each failure and stays well below the poll interval, the longest
+        time allowed between two polls.
         """
         self.failed_polls += 1
         settings = self.context.settings
         longest = settings.list_poll_interval
         base = max(settings.tick_us, longest // BACKOFF_BASE_DIVISOR)
         doubled = base << min(self.failed_polls - 1, BACKOFF_DOUBLINGS)
-        delay = min(doubled, max(base, longest // BACKOFF_MOST_DIVISOR))
-        return int(delay * (BACKOFF_JITTER_LEAST + self.context.rng.random()))
+        delay = min(doubled, max(base, longest // BACKOFF_MAX_DIVISOR))
+        return int(delay * (BACKOFF_JITTER_MIN + self.context.rng.random()))
 
     def update(
         self,
@@ -65,27 +76,33 @@
         entries: Sequence[EndpointEntry],
         more: bool,
     ) -> bool:
-        """Takes in an update that carries entries; see `api.Events.update_endpoints`.
+        """Applies an update that carries entries; see `api.Events.update_endpoints`.
+
+        Args:
+            now: The time in microseconds.
+            kind: The kind of the update; not a failed poll.
+            entries: The entries of the update.
+            more: Whether further parts of this full list follow.
 
         Returns:
-            Whether endpoints that a full list left out are to be swept out.
+            Whether a sweep has to remove endpoints that a full list left out.
         """
         if kind != ListUpdateKind.CACHED:
             self.failed_polls = 0
         endpoint_list = self.subset.endpoint_list
         if kind != ListUpdateKind.CHANGES and not endpoint_list.receiving:
             endpoint_list.begin()
-        # Of an endpoint that is named twice the last entry holds.
+        # If an endpoint is named twice, the last entry counts.
         for entry in {entry.endpoint: entry for entry in entries}.values():
             self.update_endpoint(now, entry)
         if kind == ListUpdateKind.CHANGES or more:
             return False
-        unswept = endpoint_list.end()
+        sweep_due = endpoint_list.end()
         self.table.unlist_missing(endpoint_list)
-        return unswept
+        return sweep_due
 
     def update_endpoint(self, now: int, entry: EndpointEntry) -> None:
-        """Takes in one entry."""
+        """Applies one entry of an update."""
         known = self.table.endpoints.get(entry.endpoint)
         if entry.state != EndpointState.READY:
             self.subset.endpoint_list.remove(entry.endpoint)
@@ -97,7 +114,7 @@
             self.table.update(now, known, listed)
 
     def rebuild(self) -> None:
-        """Lays the list out anew, if the settings need other orders of it."""
+        """Rebuilds the orders of the list if changed settings require other ones."""
         endpoint_list = self.subset.endpoint_list
         scopes = scopes_of(self.context.settings) | endpoint_list.scopes
         by_zone = self.subset.spill.enabled
@@ -105,12 +122,12 @@
             self.subset.endpoint_list = endpoint_list.rebuilt(by_zone, scopes)
 
     def refill(self, now: int) -> None:
-        """Takes the members anew from the list."""
+        """Selects the members again from the list and updates the capacity."""
         listed = self.subset.select_slices()
         if self.subset.is_current(listed):
             self.subset.update_capacity(now)
             return
-        members = [self.table.learn_of(now, each) for each in listed]
+        members = [self.table.get_or_create(now, each) for each in listed]
         self.subset.replace_members(listed, members)
         self.outliers.adapt_to_members()
         self.table.forget_idle()
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -19,7 +19,7 @@
 )
 from loadbalancer.policy.balancer import Balancer
 from loadbalancer.policy.endpoint_list import ALL_ZONES, SWEEP_STEP, EndpointList
-from loadbalancer.policy.endpoint_table import FORMER_MEMBERS_MOST
+from loadbalancer.policy.endpoint_table import MAX_FORMER_MEMBERS
 from loadbalancer.policy.ranked_order import shuffle
 from loadbalancer.policy.subset import (
     SUBSET_BOUND,
@@ -197,7 +197,7 @@
                 node.outcome(now + 500, request, 0, server, Outcome.OK, 500, True, ())
     assert len(node.subset.endpoint_list) == 3000
     assert len(node.subset.members) == 30
-    assert len(node.table.endpoints) <= SUBSET_BOUND + FORMER_MEMBERS_MOST
+    assert len(node.table.endpoints) <= SUBSET_BOUND + MAX_FORMER_MEMBERS
 
 
 def test_repeats_outside_the_subset_leave_little_behind():
@@ -217,7 +217,7 @@
             assert second != first
             assert (second - first) % 100 == 0
             node.outcome(now + 2000, i, 1, second, Outcome.OK, 1000, True, ())
-        assert len(node.table.endpoints) <= SUBSET_BOUND + FORMER_MEMBERS_MOST + 24
+        assert len(node.table.endpoints) <= SUBSET_BOUND + MAX_FORMER_MEMBERS + 24
     assert repeats > 30
     assert node.limit.in_flight == 0
 
