--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -38,8 +38,8 @@
     "TOKEN_BITS",
     "KEY_BITS",
     "KEY_MASK",
-    "PAIR",
-    "NOTHING",
+    "MIN_NODE_ITEMS",
+    "NO_NODE",
     "ALL_ZONES",
 )
 
--- a/loadbalancer/policy/call_tracker.py
+++ b/loadbalancer/policy/call_tracker.py
@@ -81,7 +81,7 @@
         # Connections refused by a zone that is gone would halve the limit that others bear.
         if not endpoint.ejected and outcome not in NEVER_RAN:
             self.add_loss(now, request, answered, failed)
-        self.outliers.judge(now, endpoint, answered, failed)
+        self.outliers.evaluate(now, endpoint, answered, failed)
 
     def add_latency(
         self,
--- a/loadbalancer/policy/zone_failover.py
+++ b/loadbalancer/policy/zone_failover.py
@@ -195,7 +195,7 @@
         elif zone.lost:
             self.clear_return_approval(number)
         elif zone.usual_endpoints and not zone.has_most(listed):
-            zone.lose(now, self.rules.calm_time)
+            zone.mark_lost(now, self.rules.calm_time)
 
     def admit_return(self, number: int) -> bool:
         """Decides whether a zone whose endpoints are listed again may take calls.
--- a/loadbalancer/policy/zone_recovery.py
+++ b/loadbalancer/policy/zone_recovery.py
@@ -1,30 +1,36 @@
-"""One zone's endpoints over time: how many count, whether the zone is lost, and its recovery ramp.
+"""Tracks one zone's endpoints: how many are usable, whether the zone is lost, and its recovery ramp.
 
-A zone that comes back is given what its warm endpoints can take, and its recovery ramp is longer the more
-often it has been lost. Free of I/O, clock and randomness. Times are microseconds.
+A zone that returns gets the load that its warm endpoints can take, and no more than its recovery ramp
+allows. The ramp is longer the more often the zone has been lost. This module uses no I/O, clock or
+randomness. Times are in microseconds.
 """
 
 from __future__ import annotations
 
-SHORT_RATIO = 0.9  # a zone with less than this part of its usual endpoints is short
-LOST_RATIO = 0.5  # and with less than this it is lost
-RESIZED_RATIO = 0.1  # the list of a zone was resized when its size differs by more
-SIZE_MEMORY_US = 600_000_000  # the usual size of a smaller zone fades over so long
-RAMP_DOUBLINGS_MOST = 4  # the recovery ramp doubles with each loss, up to so many times
+# A zone with less than this fraction of its usual endpoints usable is short.
+SHORT_RATIO = 0.9
+# A zone with less than this fraction of its usual endpoints listed is lost.
+LOST_RATIO = 0.5
+# A zone was resized when its number of listed endpoints changes by more than this fraction.
+RESIZED_RATIO = 0.1
+# Time constant with which the usual size of a zone that has become smaller fades.
+SIZE_MEMORY_US = 600_000_000
+# Largest number of times that the recovery ramp is doubled; it doubles with each loss after the first.
+MAX_RAMP_DOUBLINGS = 4
 
 
 class Zone:
-    """What is known of one zone.
+    """The endpoints of one zone as seen by one instance.
 
     Attributes:
-        usual_endpoints: Endpoints in the usual state.
-        usable_endpoints: Warm endpoints that count now.
-        settled_size: Listed endpoints when their number last moved by more than RESIZED_RATIO.
-        resized_at: When that was, in microseconds; None before the first time.
+        usual_endpoints: The number of listed endpoints in the usual state; it fades after a decrease.
+        usable_endpoints: The number of endpoints that may be used now, counted in warm ones.
+        settled_size: The number of listed endpoints when it last changed by more than RESIZED_RATIO.
+        resized_at: The time of that change in microseconds; None before the first one.
         lost: Whether the zone has lost most of its endpoints.
-        loss_count: How often it was lost, since the last calm time.
-        lost_at: When it last was, in microseconds.
-        recovering_since: When it came back, in microseconds, while its recovery ramp lasts.
+        loss_count: How often the zone was lost since the last time without losses (`calm_time`).
+        lost_at: The time of the last loss, in microseconds.
+        recovering_since: The time of the zone's return in microseconds; None outside a recovery ramp.
     """
 
     __slots__ = (
@@ -39,7 +45,7 @@
     )
 
     def __init__(self) -> None:
-        """A zone of which nothing is known."""
+        """Creates a zone without known endpoints."""
         self.usual_endpoints = 0.0
         self.usable_endpoints = 0.0
         self.settled_size = 0
@@ -51,25 +57,30 @@
 
     @property
     def is_short(self) -> bool:
-        """Whether the zone lacks endpoints."""
+        """Whether the zone has less than SHORT_RATIO of its usual endpoints."""
         return self.usable_endpoints < SHORT_RATIO * self.usual_endpoints
 
     def has_most(self, listed: int) -> bool:
-        """Whether so many listed endpoints are at least LOST_RATIO of the usual ones."""
+        """Returns whether this number of listed endpoints is at least LOST_RATIO of the usual number."""
         return listed >= LOST_RATIO * self.usual_endpoints
 
     def observe_size(self, now: int, listed: int) -> None:
-        """Records when the number of listed endpoints moved; the first list is no move."""
+        """Records when the number of listed endpoints changed; the first list does not count as a change.
+
+        Args:
+            now: The time in microseconds.
+            listed: The number of listed endpoints.
+        """
         if abs(listed - self.settled_size) > RESIZED_RATIO * self.settled_size:
             self.resized_at = now if self.usual_endpoints else None
             self.settled_size = listed
 
-    def lose(self, now: int, calm_time: int) -> None:
+    def mark_lost(self, now: int, calm_time: int) -> None:
         """Marks the zone as lost.
 
         Args:
             now: The time in microseconds.
-            calm_time: After so long without a loss, in microseconds, earlier ones are forgotten.
+            calm_time: The time without a loss, in microseconds, after which earlier losses no longer count.
         """
         if now - self.lost_at > calm_time:
             self.loss_count = 0
@@ -79,23 +90,23 @@
         self.loss_count += 1
 
     def start_recovery(self, now: int) -> None:
-        """Marks the zone as back; its recovery ramp begins."""
+        """Marks the zone as returned and starts its recovery ramp."""
         self.lost = False
         self.recovering_since = now
 
     def update_endpoints(
         self, now: int, elapsed: int, listed: int, warm: float, ramp_time: int
     ) -> None:
-        """Counts the endpoints that may be used now.
+        """Updates the numbers of usual and usable endpoints.
 
-        A zone that comes and goes every few seconds fails calls each time: from its second loss on it has
-        to stay for longer before it counts as before.
+        A zone that is lost and returns every few seconds fails calls each time. From its second loss on it
+        therefore has to stay for longer until all its endpoints are usable.
 
         Args:
             now: The time in microseconds.
-            elapsed: Since the last update, in microseconds.
-            listed: Endpoints in the list.
-            warm: Healthy endpoints, counted in warm ones.
+            elapsed: The time since the last update, in microseconds.
+            listed: The number of listed endpoints.
+            warm: The number of healthy endpoints, counted in warm ones.
             ramp_time: The length of the recovery ramp after a first loss, in microseconds.
         """
         faded = self.usual_endpoints * max(0.0, 1 - elapsed / SIZE_MEMORY_US)
@@ -103,7 +114,7 @@
         self.usable_endpoints = warm
         if self.recovering_since is None and not (self.lost and self.loss_count > 1):
             return
-        ramp_time <<= min(self.loss_count - 1, RAMP_DOUBLINGS_MOST)
+        ramp_time <<= min(self.loss_count - 1, MAX_RAMP_DOUBLINGS)
         progress = 0.0
         if self.recovering_since is not None:
             progress = (now - self.recovering_since) / ramp_time
--- a/loadbalancer/policy/zone_routing.py
+++ b/loadbalancer/policy/zone_routing.py
@@ -1,4 +1,4 @@
-"""What the zone policy is told of this instance's traffic, and the decision that it has made."""
+"""Reports this instance's traffic to the zone policy and keeps the policy's last decision."""
 
 from __future__ import annotations
 
@@ -15,42 +15,59 @@
 from loadbalancer.policy.endpoint import Endpoint
 from loadbalancer.policy.endpoint_list import EndpointList
 
-# Round trips up to this part of the target: the zone bears its load
+# Latency counts as healthy while round trips take at most this fraction of their target.
 HEALTHY_RTT_RATIO = 0.8
-UNHEALTHY_FAILURE_RATE = 0.3  # a member that fails more counts as unhealthy
+# A member with a higher failure rate counts as unhealthy.
+UNHEALTHY_FAILURE_RATE = 0.3
 
 
 def unhealthy_members(members: Iterable[Endpoint]) -> dict[int, list[bool]]:
-    """By zone, whether each member there fails or is ejected."""
-    found: dict[int, list[bool]] = {}
+    """Returns for each zone a list that tells of each member there whether it is unhealthy.
+
+    A member is unhealthy if it is ejected or its failure rate exceeds UNHEALTHY_FAILURE_RATE.
+    """
+    unhealthy_by_zone: dict[int, list[bool]] = {}
     for member in members:
-        fails = member.ejected or member.failure_rate > UNHEALTHY_FAILURE_RATE
-        found.setdefault(member.zone, []).append(fails)
-    return found
+        is_unhealthy = member.ejected or member.failure_rate > UNHEALTHY_FAILURE_RATE
+        unhealthy_by_zone.setdefault(member.zone, []).append(is_unhealthy)
+    return unhealthy_by_zone
 
 
 class ZoneRouting:
-    """Counts requests and attempts between two decisions of the zone policy, and keeps the last one."""
+    """Counts requests and attempts between two decisions of the zone policy, and keeps the last decision.
+
+    Attributes:
+        policy: The zone policy, or None.
+        decision: The last decision; it has no shares while no policy has decided.
+        decided_at: The time of the last decision, in microseconds.
+        rate_per_member: Calls per second that a warm endpoint of the own zone can take from this instance.
+        requests_by_class: Requests since the last decision, by class.
+        attempts_by_zone: Attempts since the last decision, by zone.
+    """
 
     def __init__(
         self, context: PolicyContext, policy: ZoneFailoverPolicy | None
     ) -> None:
-        """Starts without a decision: zones are then taken by the spill rule."""
+        """Starts without a decision; until there is one, `ZoneSpill` chooses between zones.
+
+        Args:
+            context: The settings and the host's actions.
+            policy: The zone policy, or None.
+        """
         self.context = context
         self.policy = policy
         self.decision = ZoneDecision(())
         self.decided_at = 0
-        # Calls a second that a warm endpoint of the own zone bears from this instance.
         self.rate_per_member = 0.0
         self.requests_by_class: list[int] = [0] * len(context.settings.classes)
         self.attempts_by_zone: dict[int, int] = {}
 
     def update_policy(self, policy: ZoneFailoverPolicy | None) -> None:
-        """Takes another policy, or none, and forgets the last decision."""
+        """Replaces the policy, or removes it if it is None, and discards the last decision."""
         self.policy, self.decision = policy, ZoneDecision(())
 
     def update_settings(self) -> None:
-        """Makes place for the requests of new classes."""
+        """Adds counters for the request classes that changed settings have added."""
         added = len(self.context.settings.classes) - len(self.requests_by_class)
         self.requests_by_class += [0] * added
 
@@ -62,7 +79,14 @@
         limit: ConcurrencyLimit,
         latency: ClassLatency,
     ) -> bool:
-        """Asks the policy for a decision, if there is one and a window has passed since the last.
+        """Asks the policy for a decision if a window has passed since the last one.
+
+        Args:
+            now: The time in microseconds.
+            members: The members of the subset.
+            endpoint_list: The listed endpoints.
+            limit: The concurrency limit, which knows whether latency and losses are within their bounds.
+            latency: The mean round-trip times by class.
 
         Returns:
             Whether there is a new decision.
--- a/loadbalancer/policy/zone_spill.py
+++ b/loadbalancer/policy/zone_spill.py
@@ -1,7 +1,7 @@
-"""The share of calls that leave the own zone, where no zone policy decides.
+"""Adapts the share of calls that leave the own zone where no zone policy decides.
 
-Calls keep to their zone where a crossing has a price, and leave it only as far as its own endpoints are
-slower than the others, so that one zone's endpoints are not crowded while another's stand idle.
+Calls stay in their zone where crossing zones has a cost. They leave it only to the extent that its endpoints
+are slower than the others, so that endpoints of one zone are not overloaded while those of another are idle.
 """
 
 from __future__ import annotations
@@ -9,63 +9,88 @@
 from loadbalancer.policy.context import PolicyContext
 from loadbalancer.policy.statistics import ENDPOINT_SMOOTHING, SUBSET_SMOOTHING
 
-LEAST_CROSSING_COST = 0.01  # calls keep to their zone from this price of a crossing on
-SPILL_GAIN = 0.1  # a window moves the share by this part of the imbalance...
-SPILL_STEP_MOST = 0.04  # ...and by so much at most
-UNVISITED_SHARE = 0.05  # below this share nothing is learned of the other zones
-BEST_RATIO_GROWTH = 1.001  # a window's: the best latency is forgotten slowly
-SLOWDOWN_PER_COST = 10  # a call twice as slow is taken to lose a tenth of its value
+# Calls stay in their zone if the cost of crossing zones, a fraction of a call's value, is at least this.
+MIN_CROSSING_COST = 0.01
+# Fraction of the imbalance by which a window changes the share.
+SPILL_GAIN = 0.1
+# Largest change of the share in one window.
+MAX_SPILL_STEP = 0.04
+# Below this share too few calls leave the zone to learn the latency of the other zones.
+UNVISITED_SHARE = 0.05
+# Factor by which the best latency ratio rises in each window, so that an old one is forgotten slowly.
+BEST_RATIO_GROWTH = 1.001
+# Relative slowdown that is tolerated per unit of crossing cost: a call that takes twice as long is assumed
+# to lose a tenth of its value.
+SLOWDOWN_PER_COST = 10
 
 
 class ZoneSpill:
-    """How much of its traffic this instance sends to other zones."""
+    """Decides how much of its traffic this instance sends to other zones.
+
+    Attributes:
+        enabled: Whether zones count. If they do not, calls go to the endpoints of all zones alike.
+        share: The fraction of calls that may leave the own zone.
+        floor: The smallest value of `share`.
+        local_ratio: The mean latency of the own zone's endpoints, relative to the target.
+        remote_ratio: The mean latency of the other zones' endpoints, relative to the target.
+        best_ratio: The lowest recent `local_ratio`; 0 if unknown.
+    """
 
     def __init__(self, context: PolicyContext, has_zone_policy: bool) -> None:
-        """Starts with all calls in the own zone, or with zones that don't count."""
+        """Starts with all calls in the own zone, or with zones that do not count.
+
+        Args:
+            context: The settings.
+            has_zone_policy: Whether a zone policy decides between zones.
+        """
         self.context = context
-        self.enabled = self.wanted(has_zone_policy)
-        self.share = (
-            0.0 if self.enabled else 1.0
-        )  # of the calls that may leave the zone
+        self.enabled = self.should_enable(has_zone_policy)
+        self.share = 0.0 if self.enabled else 1.0
         self.floor = self.share
-        # Mean latency relative to the target, of this zone's endpoints and of the others.
         self.local_ratio, self.remote_ratio, self.best_ratio = 0.5, 0.5, 0.0
 
-    def wanted(self, has_zone_policy: bool) -> bool:
-        """Whether the settings, or a zone policy, ask that zones count."""
-        price = self.context.settings.cross_zone_cost
-        return has_zone_policy or price >= LEAST_CROSSING_COST
+    def should_enable(self, has_zone_policy: bool) -> bool:
+        """Returns whether zones count because of the cost of crossing them or because of a zone policy."""
+        cost = self.context.settings.cross_zone_cost
+        return has_zone_policy or cost >= MIN_CROSSING_COST
 
     def update(self, has_zone_policy: bool) -> None:
-        """Follows changed settings."""
-        if self.enabled != self.wanted(has_zone_policy):
+        """Applies changed settings and a zone policy that was added or removed."""
+        if self.enabled != self.should_enable(has_zone_policy):
             self.enabled = not self.enabled
             self.share = self.floor = 0.0 if self.enabled else 1.0
 
     def raise_floor(self, local: int, eligible: int) -> None:
-        """At least what exceeds the zone's part of all endpoints leaves it, were all instances alike.
+        """Raises the smallest share to the calls that exceed the own zone's fraction of all endpoints.
 
-        Else a zone with few endpoints would take all calls of the one instance beside it.
+        The floor assumes that all instances send the same load. Without it, a zone with few endpoints would
+        have to take all calls of the only instance in that zone.
 
         Args:
             local: Members of the own zone that may be drawn.
             eligible: All members that may be drawn; above 0.
         """
-        part = local * self.context.settings.instances / eligible
-        self.floor = max(0.0, 1 - part)
+        own_zone_fraction = local * self.context.settings.instances / eligible
+        self.floor = max(0.0, 1 - own_zone_fraction)
         self.share = max(self.share, self.floor)
 
     def add_latency(self, zone: int, target_ratio: float) -> None:
-        """Takes in a round trip, relative to its class's target."""
+        """Records the latency of a round trip.
+
+        Args:
+            zone: The zone of the endpoint.
+            target_ratio: The round-trip time, relative to the target of the request's class.
+        """
         if zone == self.context.settings.zone:
             self.local_ratio += SUBSET_SMOOTHING * (target_ratio - self.local_ratio)
         else:
             self.remote_ratio += SUBSET_SMOOTHING * (target_ratio - self.remote_ratio)
 
     def adapt(self) -> None:
-        """Moves the share by one window's imbalance.
+        """Adjusts the share by the imbalance of latency at the end of a window.
 
-        Unvisited, the other zones are taken to do as well as this one did at its best.
+        While hardly any call leaves the zone, the other zones are assumed to be as fast as this zone was at
+        its best.
         """
         if self.local_ratio < self.best_ratio or self.best_ratio == 0:
             self.best_ratio = self.local_ratio
@@ -79,5 +104,5 @@
         )
         imbalance = self.local_ratio / max(self.remote_ratio, 1e-9) - tolerated_slowdown
         step = SPILL_GAIN * imbalance
-        self.share += min(SPILL_STEP_MOST, max(-SPILL_STEP_MOST, step))
+        self.share += min(MAX_SPILL_STEP, max(-MAX_SPILL_STEP, step))
         self.share = min(1.0, max(self.floor, self.share))
