--- a/loadbalancer/policy/api.py
+++ b/loadbalancer/policy/api.py
@@ -1,7 +1,7 @@
 """The interface of the policy: settings, endpoints, outcomes, actions and events.
 
-Times are integer microseconds of one monotonic clock that the host passes in as `now`.
-Everything a host must know to embed `loadbalancer.policy.balancer.Balancer` is named in this module.
+Times are integers in microseconds, read from one monotonic clock that the host passes in as `now`.
+This module names everything that a host needs to embed `loadbalancer.policy.balancer.Balancer`.
 """
 
 from __future__ import annotations
@@ -42,24 +42,29 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended. The first three prove that the endpoint never ran it."""
-
-    REJECTED = 0  # by the endpoint, unseen: its queue is full, or it drains
-    CONNECT_FAILED = 1  # no connection, or the request never went out completely
+    """How an attempt ended. The first three outcomes prove that the endpoint did not run the request."""
+
+    REJECTED = (
+        0  # the endpoint refused it without running it: its queue is full, or it drains
+    )
+    CONNECT_FAILED = (
+        1  # there was no connection, or the request was not sent completely
+    )
     NOT_SENT = 2
     OK = 3
     ERROR = 4
     TIMEOUT = 5
     RESET = 6
     CANCELLED = 7
-    UNKNOWN = 8  # any outcome the host does not recognise: it may have run
+    UNKNOWN = 8  # an outcome that the host does not recognise: the request may have run
 
 
+# Outcomes that prove that the endpoint did not run the request.
 NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 class EndpointState(IntEnum):
-    """An endpoint's state in the list."""
+    """The state of an endpoint in the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -67,26 +72,26 @@
 
 
 class ListUpdateKind(IntEnum):
-    """What an update of the endpoint list carries."""
+    """The kind of an update of the endpoint list."""
 
     CHANGES = 0
     FULL = 1
-    CACHED = 2  # a full list from before this instance started, possibly stale
-    FAILED = 3  # a watch or fetch failed; keep the list in hand
+    CACHED = 2  # a full list from before this instance started, which may be stale
+    FAILED = 3  # a watch or fetch failed; the present list stays in use
 
 
 @dataclass(frozen=True)
 class EndpointEntry:
-    """One line of the endpoint list.
+    """One entry of the endpoint list.
 
     Attributes:
         endpoint: The endpoint's number.
-        state: Its state.
-        cell: The cell it is in.
-        zone: The zone it is in.
-        kind: Its kind of machine.
-        weight: Its weight, where weights can be compared.
-        started_at: When it last started, in microseconds; 0 if long ago.
+        state: The endpoint's state.
+        cell: The number of its cell.
+        zone: The number of its zone.
+        kind: The number of its kind of machine.
+        weight: Its weight, if the weights of the list can be compared.
+        started_at: When its process last started, in microseconds; 0 if long ago.
     """
 
     endpoint: int
@@ -100,19 +105,20 @@
 
 @dataclass(frozen=True)
 class ZoneObservation:
-    """What one instance sees of the zones. Counts are of the time since the last decision.
+    """What one instance observes of the zones. Counts cover the time since the last decision.
 
     Attributes:
-        ready: Endpoints in the list, by zone.
-        warm: How many warm endpoints they are as good as, by zone.
-        unhealthy: The part of this instance's members there that fail or are ejected, by zone.
-        requests_by_class: Requests that came.
-        attempts_by_zone: Attempts that were sent.
-        cost_by_class: Cost of a call, in any unit.
-        priority_weights: The classes' weights.
-        instances: Instances that send to this tier.
+        ready: The number of listed endpoints by zone.
+        warm: The capacity of the listed endpoints, counted in warm endpoints, by zone.
+        unhealthy: The fraction of this instance's members that fail or are ejected, by zone.
+        requests_by_class: Requests that arrived, by class.
+        attempts_by_zone: Attempts that were sent, by zone.
+        cost_by_class: The cost of a call by class, in any unit.
+        priority_weights: The priority weights by class.
+        instances: The number of instances that send to this tier.
         healthy: Whether latency is within its target and few calls are lost.
-        may_reject: Whether what nobody can bear may be rejected; below the first tier it waits.
+        may_reject: Whether load that exceeds the capacity of all zones may be rejected. Below the first tier
+            it may not, and waits instead.
     """
 
     ready: Mapping[int, int]
@@ -129,13 +135,15 @@
 
 @dataclass(frozen=True)
 class ZoneDecision:
-    """Which zones take this instance's calls until the next decision, and what is rejected at once.
+    """How this instance's calls are divided between zones until the next decision.
 
     Attributes:
-        shares: Zones in order of preference, each with its part of the calls; empty: no preference.
-        reject: The part of each class that nobody can bear; empty: nothing.
-        panic: Whether so few endpoints look well that none is avoided.
-        rate: Calls a second that a warm endpoint of the own zone bears from one instance.
+        shares: The zones in order of preference, each with its fraction of the calls. If empty, there is no
+            preference.
+        reject: The fraction of each class that is rejected at once because no zone has capacity for it. If
+            empty, nothing is rejected.
+        panic: Whether so few endpoints are healthy that none is avoided.
+        rate: Calls per second that a warm endpoint of the own zone can take from one instance; 0 if unknown.
     """
 
     shares: tuple[tuple[int, float], ...]
@@ -145,125 +153,159 @@
 
 
 class ZoneFailoverPolicy(Protocol):
-    """Decides between zones; see `loadbalancer.policy.zone_failover`."""
+    """Decides how calls are divided between zones; see `loadbalancer.policy.zone_failover`."""
 
     def decide(self, now: int, observation: ZoneObservation) -> ZoneDecision:
-        """What holds from now on, in microseconds."""
+        """Returns the decision that holds until the next call.
+
+        Args:
+            now: The time in microseconds.
+            observation: What the instance has observed since the last decision.
+        """
 
     def metrics(self) -> dict[str, float]:
-        """For operators."""
+        """Returns the policy's metrics for operators, by name."""
 
 
 class RetryStormPolicy(Protocol):
-    """Decides who is admitted while clients return at once; see `loadbalancer.policy.retry_storm`."""
+    """Decides which requests are admitted while many clients retry; see `loadbalancer.policy.retry_storm`."""
 
     def update_classes(self, priority_weights: Sequence[float]) -> None:
-        """Other classes hold; the weights are by class."""
+        """Applies changed request classes.
+
+        Args:
+            priority_weights: The priority weights by class.
+        """
 
     def admits(
         self, now: int, class_index: int, repeat: bool, time_left: int, needed: float
     ) -> bool:
-        """Whether a request may go on to the limit.
+        """Returns whether a request may proceed to the concurrency limit.
 
         Args:
             now: The time in microseconds.
-            class_index: Its class.
-            repeat: Whether its client marked it as a retry.
+            class_index: The request's class.
+            repeat: Whether the client marked the request as a retry.
             time_left: The client's remaining time in microseconds.
-            needed: The mean time of an answer of its class, in microseconds.
+            needed: The mean time to an answer of the request's class, in microseconds.
         """
 
     def record_end(self, now: int, class_index: int, served: bool) -> None:
-        """Counts a request that was admitted and has been served, or has failed."""
+        """Counts the end of an admitted request.
+
+        Args:
+            now: The time in microseconds.
+            class_index: The request's class.
+            served: Whether the request was served; if not, it failed.
+        """
 
     def record_rejection(self, class_index: int, longest: int, base: int) -> int:
-        """Counts a rejected request.
+        """Counts a rejected request and computes when its client should retry.
 
         Args:
-            class_index: Its class.
-            longest: The longest time after which its client may come back, in microseconds.
-            base: That time where no storm is on, in microseconds.
+            class_index: The request's class.
+            longest: The longest time after which the client may be asked to retry, in microseconds.
+            base: The time to return outside a retry storm, in microseconds.
 
         Returns:
-            When its client should come back, in microseconds.
+            The time after which the client should retry, in microseconds.
         """
 
     def metrics(self) -> dict[str, float]:
-        """For operators."""
+        """Returns the policy's metrics for operators, by name."""
 
 
 class Actions(Protocol):
-    """What a Balancer asks of its host. Calls take effect at the `now` of the event being handled."""
+    """The actions that a Balancer requests from its host.
+
+    An action takes effect at the `now` of the event that is being handled. Requests, attempts, endpoints
+    and peers are identified by number.
+    """
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Start the request's next attempt; exactly one `outcome` follows, within `timeout` microseconds."""
+        """Starts the request's next attempt at an endpoint.
+
+        Exactly one `outcome` event follows, within `timeout` microseconds.
+        """
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Stop waiting for an attempt; its outcome still follows."""
+        """Stops waiting for an attempt; its `outcome` event still follows."""
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Final answer: not served, and a retry does no harm, best after `retry_after` microseconds."""
+        """Answers finally that the request was not served and may safely be retried.
+
+        The client should wait for `retry_after` microseconds before it retries.
+        """
 
     def fail(self, request: int) -> None:
-        """Final answer: not served, with no promise about effects."""
+        """Answers finally that the request failed; whether it had effects is unknown."""
 
     def check_health(self, server: int) -> None:
-        """Check an endpoint's health; one `health_checked` event follows."""
+        """Checks the health of an endpoint; one `health_checked` event follows."""
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Ask for a `timer` event after `delay` microseconds; timers cannot be withdrawn."""
+        """Requests a `timer` event with this token after `delay` microseconds; it cannot be cancelled."""
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Send a short message to another instance of this tier (-1: to all)."""
+        """Sends a short message to another instance of this tier, or to all if `peer` is -1."""
 
     def watch(self, on: bool) -> None:
-        """Subscribe to changes of the endpoint list."""
+        """Subscribes to changes of the endpoint list, or unsubscribes if `on` is false."""
 
     def fetch(self) -> None:
-        """Ask for the full endpoint list once."""
+        """Requests the full endpoint list once."""
 
     def close(self, server: int) -> None:
-        """Close idle connections to an endpoint."""
+        """Closes the idle connections to an endpoint."""
 
     def log(self, text: str) -> None:
-        """Record a change of state."""
+        """Logs a change of state."""
 
 
 class Events(Protocol):
-    """The events that a host hands to a Balancer, which implements all of these.
+    """The events that a host passes to a Balancer, which implements all of these methods.
 
-    `now` is in microseconds and never goes back. `start` comes first and once; then an endpoint list, so that
-    requests find endpoints.
-    Actions are asked for while an event is being handled, never later. An event about a request, attempt
-    or endpoint that is no longer known is passed over.
+    `now` is in microseconds and never decreases. `start` is the first event and occurs once. An endpoint list
+    should follow before the first request, so that requests find endpoints.
+    Actions are requested only while an event is being handled. An event about a request, attempt or endpoint
+    that is no longer known is ignored.
     """
 
     def start(self, now: int) -> None:
-        """The instance begins to run. Where the list must be polled, it polls."""
+        """The instance starts. If the endpoint list must be polled, it starts polling by `Actions.watch`."""
 
     def update_settings(self, now: int, settings: Settings) -> None:
-        """Other settings hold for the requests that come from now on; those that are open keep theirs.
+        """The settings change for requests that arrive from now on; open requests keep their settings.
 
-        No index in use changes its meaning: a class that is dropped or changed keeps its index, with a
-        weight of 0, while a request of it is open, and what is new gets an index that no open request has.
+        An index that is in use does not change its meaning. While a request of a removed or changed class is
+        open, that class keeps its index, with a weight of 0. A new class gets an index that no open request
+        uses.
         """
 
     def update_zone_policy(
         self, now: int, zone_policy: ZoneFailoverPolicy | None
     ) -> None:
-        """Other rules for zones, or none: from the next request on they hold. What was learned stays."""
+        """The zone policy changes, or is removed if None, from the next request on.
+
+        What the balancer has learned stays.
+        """
 
     def update_retry_storm_policy(
         self, now: int, retry_storm: RetryStormPolicy | None
     ) -> None:
-        """Another policy for retry storms, or none, for the requests that come from now on."""
+        """The retry storm policy changes, or is removed if None, for requests that arrive from now on."""
 
     def update_weights(self, now: int, weights: Mapping[int, float] | None) -> None:
-        """The part of an endpoint's draws that stands, above 0 up to 1; 1 for those that are not named.
+        """The weights of the draws change; a later call replaces all weights.
+
+        Weights balance the load that other instances send unevenly. They affect only the random draws of
+        endpoints: limits, slow start, ejection and slowness are unaffected. While there are weights, small
+        differences in load between two drawn endpoints are ignored.
 
-        Small differences between two that are drawn count as none then. None: nothing is known of others'
-        traffic. A bias of the draws alone, so that what other instances send unevenly evens out: limits,
-        slow start, ejection and slowness hold as ever. A later call replaces all weights.
+        Args:
+            now: The time in microseconds.
+            weights: By endpoint, the fraction of its draws that is accepted, above 0 up to 1; 1 for
+                endpoints without an entry. None if the traffic of other instances is unknown.
         """
 
     def update_endpoints(
@@ -273,11 +315,18 @@
         entries: Sequence[EndpointEntry],
         more: bool = False,
     ) -> None:
-        """An update of the endpoint list, in order of version; a failed poll carries no entries.
+        """An update of the endpoint list has arrived; updates arrive in the order of their versions.
 
-        From here on nothing new goes to an endpoint that is not ready, or that a full list leaves out. A
-        large full list may come in parts, in as many events with `more` true until the last: what a part
-        names counts at once, what the whole leaves out goes with the last part. Changes may come between.
+        From now on no new call goes to an endpoint that is not ready or that a full list leaves out. A large
+        full list may arrive in parts, one event each, with `more` true in all but the last one. Entries of a
+        part count at once, and endpoints that the complete list leaves out are removed with the last part.
+        Changes may arrive between the parts.
+
+        Args:
+            now: The time in microseconds.
+            kind: The kind of the update.
+            entries: The entries of the update; empty for a failed poll.
+            more: Whether further parts of this full list follow.
         """
 
     def request(
@@ -291,29 +340,30 @@
         complete: bool = True,
         preferred_endpoints: Sequence[int] = (),
     ) -> None:
-        """A request with a fresh id. One final answer is owed within `time_left`.
+        """A request with a new number has arrived. Exactly one final answer follows within `time_left`.
 
-        The final answer is `reject`, `fail` or an outcome that is final. A class that the settings lack
-        gets no right to a repeat, a tenant that they lack has no quota.
+        The final answer is `reject`, `fail` or an outcome that is final. Requests of a class that is not in
+        the settings are not retried, and a tenant that is not in the settings has no quota.
 
         Args:
             now: The time in microseconds.
-            request: Its number.
-            class_index: Its class.
-            tenant: Its tenant.
-            time_left: How long its client waits, in microseconds.
-            repeat: Whether its client marked it as a retry.
-            complete: Whether all of it has come. If not, its endpoint begins, and its time runs, only from
-                the `request_complete` that follows, and so does the time-out of an attempt sent before.
-            preferred_endpoints: Those whose caches may hold what is asked for. While one of them is a
+            request: The request's number.
+            class_index: The request's class.
+            tenant: The request's tenant.
+            time_left: How long the client waits, in microseconds.
+            repeat: Whether the client marked the request as a retry.
+            complete: Whether the entire request has arrived. If not, the endpoint starts to work on it only
+                at the `request_complete` event that follows. `time_left`, and the timeout of an attempt that
+                was sent before, count from that event.
+            preferred_endpoints: Endpoints whose caches may hold the requested data. While one of them is a
                 member and has capacity, the first attempt is drawn among them.
         """
 
     def request_complete(self, now: int, request: int) -> None:
-        """All of a request has come: its time runs from now on."""
+        """The entire request has arrived; its time counts from now on."""
 
     def not_replayable(self, now: int, request: int) -> None:
-        """Part of the request is gone, so no further attempt of it can be sent."""
+        """Part of the request is no longer buffered, so no further attempt can be sent."""
 
     def outcome(
         self,
@@ -326,31 +376,50 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """An attempt ended; exactly one for each `send`, also after its request's end.
+        """An attempt has ended. Exactly one such event follows each `send`, even after the request's end.
+
+        If `final` is false and the request is open, an answer or a further attempt follows at once.
 
-        `final` says that nothing more is owed for the request, as after an answer that was passed on. If
-        it is false and the request is open, an answer or a further attempt follows at once. `latency` is in
-        microseconds; `report` has the columns of `Settings.report_fields`.
+        Args:
+            now: The time in microseconds.
+            request: The request's number.
+            attempt: The number of the attempt.
+            server: The endpoint's number.
+            outcome: How the attempt ended.
+            latency: How long the attempt took, in microseconds.
+            final: Whether the request needs no further answer, as after an answer that was passed on.
+            report: The endpoint's load report, with the columns of `Settings.report_fields`, or empty.
         """
 
     def response_started(
         self, now: int, request: int, attempt: int, server: int, latency: int
     ) -> None:
-        """An answer began to flow: the request is bound to this attempt, which still gets its outcome.
+        """An answer is being streamed; the request is bound to this attempt, whose outcome still follows.
 
-        The endpoint's work counts as done, in `latency` microseconds; no time runs any more.
+        The endpoint's work counts as finished after `latency` microseconds, and no timeout applies any more.
         """
 
     def client_disconnected(self, now: int, request: int) -> None:
-        """Nobody waits any more; nothing is owed. Attempts that are out still get their outcomes."""
+        """The client has disconnected, so the request needs no answer.
+
+        The outcomes of its attempts in flight still follow.
+        """
 
     def health_checked(
         self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]
     ) -> None:
-        """The answer to a `check_health`."""
+        """A health check that `check_health` requested has ended.
+
+        Args:
+            now: The time in microseconds.
+            server: The endpoint's number.
+            ok: Whether the endpoint is healthy.
+            latency: How long the check took, in microseconds.
+            report: The endpoint's load report, with the columns of `Settings.report_fields`, or empty.
+        """
 
     def timer(self, now: int, token: int) -> None:
-        """A timer that was set is due, `token` as it was given. Never during the event that set it."""
+        """A timer is due; `token` is that of `set_timer`. Never occurs during the event that set it."""
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Another instance of this tier has sent bytes by `send_to_peer`."""
+        """Another instance of this tier has sent a message by `send_to_peer`."""
