--- a/loadbalancer/policy/list_updates.py
+++ b/loadbalancer/policy/list_updates.py
@@ -58,7 +58,7 @@
     def poll_backoff(self) -> int:
         """Counts a failed poll and returns the delay of the next one in microseconds, with jitter.
 
-        The backoff doubles with each failure and stays well below the poll interval, the longest
+        The backoff doubles with each failure and stays well below the poll interval, which is the longest
         time allowed between two polls.
         """
         self.failed_polls += 1
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,8 +1,9 @@
-"""Cold servers under the sum of what many processes send: the deciders alone, in virtual time.
+"""Tests the calls of many processes together to cold servers, with balancers only and in virtual time.
 
-One model of servers (slots, a service time that is longer while they are cold), a Poisson front and P
-deciders, each with its own seed and nothing in common. What arrives at a cold server is set against N, what
-the settings allow in `fall_time` (multiple x present capacity x window), and against N + 2 sqrt(N) + 2.
+The model has servers with a number of slots and a service time that is longer while they are cold, Poisson
+arrivals, and a number of balancers that have their own seeds and share no state. The calls that arrive at a
+cold server in a window are compared with N, the number that the settings allow in `overload_window`
+(`overload_multiple` x present capacity x window), and with N + 2 sqrt(N) + 2.
 """
 
 from __future__ import annotations
@@ -29,36 +30,38 @@
 
 
 class Machine:
-    """A server: `slots` calls at a time, each of mean work takes `service` when warm."""
+    """A server that serves `slots` calls at a time; a call of mean work takes `service` seconds when warm."""
 
     def __init__(self, slots: int, service: float) -> None:
         self.slots, self.service, self.started = slots, service, -(10**12)
-        self.capacity = slots / service  # calls of mean work a second
-        self.busy: list[float] = [0.0] * slots  # when each slot is free
-        self.held: list[float] = []  # ends of the calls that it holds
+        self.capacity = slots / service  # calls of mean work per second
+        # When each slot becomes free, in seconds.
+        self.busy: list[float] = [0.0] * slots
+        # When each call that the server holds ends, in seconds.
+        self.call_ends: list[float] = []
         self.arrivals: list[tuple[int, float]] = []
 
 
 class Fleet:
-    """P deciders before some servers, played up to a time; `at` adds what happens meanwhile."""
+    """Balancers of several processes and their servers; `at` schedules events and `play` runs them."""
 
     def __init__(
         self,
         processes: int,
         servers: int,
-        rate: float,  # calls a second over all
-        service: float = 0.02,  # of a call of mean work, in seconds
+        rate: float,  # calls per second over all processes
+        service: float = 0.02,  # time of a call of mean work, in seconds
         slots: int = 2,
         seed: int = 1,
         weights: list[float] | None = None,  # of the processes in the traffic
-        works: tuple[float, ...] = (1.0,),  # by class, drawn alike; their mean is 1
+        works: tuple[float, ...] = (1.0,),  # by class, with equal probabilities; mean 1
         rules: dict[str, Any] | None = None,
-        told: int | None = None,  # the count of processes that the settings say
-        speeds: tuple[float, ...] = (1.0,),  # by kind of machine, kinds by turns
+        configured_processes: int | None = None,  # number of processes in the settings
+        speeds: tuple[float, ...] = (1.0,),  # by kind of machine, in turn
     ) -> None:
         self.rng = Random(seed)
         self.rate, self.works, self.burst = rate, works, 1.0
-        count = told or processes
+        count = configured_processes or processes
         aim = max(SEC // 2, int(10 * service * SEC))
         klass = replace(SAFE, latency_objective=aim, deadline=3 * aim)
         self.settings = Settings(
@@ -81,7 +84,7 @@
             e.endpoint: Machine(slots, service / speeds[e.kind]) for e in self.entries
         }
         self.nodes: list[tuple[Balancer, Recorder]] = []
-        self.now, self.last, self.sent, self.refused = 0, 0, 0, 0
+        self.now, self.last, self.sent, self.rejected = 0, 0, 0, 0
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.attempts: dict[tuple[int, int], tuple[int, int]] = {}
         self.count = count
@@ -100,8 +103,8 @@
         recorder.take()
         return node, recorder
 
-    def renewed(self, i: int) -> None:
-        """Process i is killed and starts anew; its open requests are gone."""
+    def restart_process(self, i: int) -> None:
+        """Kills and restarts process i; its open requests are lost."""
         self.nodes[i] = self.process(i)
 
     def at(self, when: float, what: Callable[[], None]) -> None:
@@ -110,9 +113,9 @@
 
     def arrive(self) -> None:
         gap = self.rng.expovariate(self.rate * self.burst)
-        self.at(self.now / SEC + gap, self.ask)
+        self.at(self.now / SEC + gap, self.send_request)
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.arrive()
         (i,) = self.rng.choices(range(len(self.weights)), self.weights)
         klass = self.rng.randrange(len(self.works))
@@ -120,24 +123,25 @@
         request = self.last
         left = self.settings.classes[0].deadline
         self.nodes[i][0].request(self.now, request, klass, 0, left, False)
-        self.act(i, klass)
+        self.handle_actions(i, klass)
 
-    def act(self, i: int, klass: int) -> None:
+    def handle_actions(self, i: int, klass: int) -> None:
         node = self.nodes[i]
         for name, *args in node[1].take():
             if name == "send":
                 self.serve(i, klass, *args)
             elif name in ("reject", "fail"):
-                self.refused += 1
+                self.rejected += 1
             elif name == "set_timer":
                 self.at(
-                    (self.now + args[0]) / SEC, lambda t=args[1]: self.wake(node, i, t)
+                    (self.now + args[0]) / SEC,
+                    lambda t=args[1]: self.fire_timer(node, i, t),
                 )
 
-    def wake(self, node: Any, i: int, token: int) -> None:
+    def fire_timer(self, node: Any, i: int, token: int) -> None:
         if self.nodes[i] is node:
             node[0].timer(self.now, token)
-            self.act(i, 0)
+            self.handle_actions(i, 0)
 
     def serve(
         self, i: int, klass: int, request: int, server: int, timeout: int
@@ -145,9 +149,9 @@
         m, now, node = self.machines[server], self.now / SEC, self.nodes[i]
         self.sent += 1
         m.arrivals.append((self.now, self.works[klass]))
-        while m.held and m.held[0] <= now:
-            heapq.heappop(m.held)
-        held = len(m.held) + 1
+        while m.call_ends and m.call_ends[0] <= now:
+            heapq.heappop(m.call_ends)
+        held = len(m.call_ends) + 1
         work = (
             self.works[klass]
             * m.service
@@ -157,7 +161,7 @@
         begin = max(now, heapq.heappop(m.busy))
         ends = begin + work
         heapq.heappush(m.busy, ends if ends < now + timeout / SEC else begin)
-        heapq.heappush(m.held, min(ends, now + timeout / SEC))
+        heapq.heappush(m.call_ends, min(ends, now + timeout / SEC))
         late = ends >= now + timeout / SEC
         outcome = Outcome.TIMEOUT if late else Outcome.OK
         ends = min(ends, now + timeout / SEC)
@@ -176,7 +180,7 @@
                     outcome == Outcome.OK,
                     (held - 1,),
                 )
-                self.act(i, klass)
+                self.handle_actions(i, klass)
 
         self.at(ends, ended)
 
@@ -189,28 +193,33 @@
         )
 
     def restart(
-        self, servers: list[int], spread: float = 0.0, told: float = 0.0
+        self, servers: list[int], spread: float = 0.0, notify_delay: float = 0.0
     ) -> None:
-        """They start anew now; each process is told within `spread` seconds from `told` on."""
+        """Restarts servers; processes are notified after `notify_delay` plus up to `spread` seconds."""
         entries = [replace(self.entries[n - 1], started_at=self.now) for n in servers]
         for n in servers:
             m = self.machines[n]
-            m.started, m.arrivals, m.held, m.busy = self.now, [], [], [0.0] * m.slots
+            m.started, m.arrivals, m.call_ends, m.busy = (
+                self.now,
+                [],
+                [],
+                [0.0] * m.slots,
+            )
             m.busy = [self.now / SEC] * m.slots
             self.entries[n - 1] = entries[servers.index(n)]
         for i in range(len(self.nodes)):
-            when = self.now / SEC + told + spread * self.rng.random()
+            when = self.now / SEC + notify_delay + spread * self.rng.random()
 
-            def tell(i: int = i) -> None:
+            def notify(i: int = i) -> None:
                 self.nodes[i][0].update_endpoints(
                     self.now, ListUpdateKind.CHANGES, entries
                 )
-                self.act(i, 0)
+                self.handle_actions(i, 0)
 
-            if spread or told:
-                self.at(when, tell)
+            if spread or notify_delay:
+                self.at(when, notify)
             else:
-                tell()
+                notify()
 
     def play(self, until: float) -> Fleet:
         while self.events and self.events[0][0] <= until * SEC:
@@ -220,16 +229,16 @@
         return self
 
     def lose(self, servers: list[int]) -> None:
-        """They are gone, and all are told at once."""
+        """Removes servers and notifies all processes at once."""
         for i, (node, _) in enumerate(self.nodes):
             entries = [
                 replace(self.entries[n - 1], state=EndpointState.GONE) for n in servers
             ]
             node.update_endpoints(self.now, ListUpdateKind.CHANGES, entries)
-            self.act(i, 0)
+            self.handle_actions(i, 0)
 
     def worst(self, servers: list[int]) -> tuple[float, float, float]:
-        """Over all windows: the largest part of N + 2 sqrt(N) + 2 that came, of N, and their mean of N."""
+        """Returns arrivals relative to N: the worst window by N + 2 sqrt(N) + 2, and by N, and the mean."""
         s, parts, most, mean = self.settings, 0.0, 0.0, []
         for n in servers:
             m = self.machines[n]
@@ -268,29 +277,32 @@
         return parts, most, sum(mean) / len(mean)
 
 
-KINDS = (1.6, 0.95, 0.55)  # speeds of unlike machines
+KINDS = (1.6, 0.95, 0.55)  # speeds of different kinds of machines
 WORKS = (0.5, 1.05, 1.05, 0.5, 1.05, 1.9, 0.5, 1.05, 0.5, 1.9)
 RAMP = {"slow_start_time": 12 * SEC}
-AT = 9  # seconds: the restart
+AT = 9  # when servers restart, in seconds
 EVERY = list(range(1, 21))
 
 
 def mass(processes: int, seed: int, load: float, **more: Any) -> Fleet:
-    """Twenty servers of 20 calls of mean work a second each, on average, at a part of what they bear."""
+    """Twenty servers with a mean capacity of 20 calls of mean work per second, at a fraction of it."""
     return Fleet(
         processes, 20, 400 * load, service=0.1, seed=seed, **({"rules": RAMP} | more)
     )
 
 
 def alone(processes: int, seed: int) -> tuple[Fleet, list[int]]:
-    """One restarts among warm ones; one process has ten times the traffic of the others."""
+    """One of the servers restarts; one process has ten times the traffic of the others."""
     fleet = mass(processes, seed, 0.7, weights=[10.0] + [1.0] * (processes - 1))
     fleet.at(AT, lambda: fleet.restart([1]))
     return fleet, [1]
 
 
 def half(processes: int, seed: int) -> tuple[Fleet, list[int]]:
-    """Half of unlike machines at once, told within 2 s; unlike classes; three times the traffic for 3 s."""
+    """Half of the servers restart, processes are notified within 2 s, and traffic triples for 3 s.
+
+    Machines and classes differ.
+    """
     fleet = mass(processes, seed, 0.7, speeds=KINDS, works=WORKS)
     fleet.at(AT, lambda: fleet.restart(EVERY[:10], spread=2.0))
     for when, burst in ((AT + 3, 3.0), (AT + 6, 1.0)):
@@ -299,24 +311,26 @@
 
 
 def every(processes: int, seed: int) -> tuple[Fleet, list[int]]:
-    """All of them at once, with calls late before."""
+    """All servers restart at once after a time of late calls."""
     fleet = mass(processes, seed, 1.1, speeds=KINDS, works=WORKS)
     fleet.at(AT, lambda: fleet.restart(EVERY))
     return fleet, EVERY
 
 
 def steps(processes: int, seed: int) -> tuple[Fleet, list[int]]:
-    """Replaced in steps, some twice, while half of the processes start anew; their count is a stale one."""
-    fleet = mass(processes, seed, 0.8, told=50 - processes, speeds=KINDS)
+    """Servers restart in steps, some twice, and half of the processes restart with a stale process count."""
+    fleet = mass(
+        processes, seed, 0.8, configured_processes=50 - processes, speeds=KINDS
+    )
     for i in range(12):
         fleet.at(AT + 0.5 * i, lambda i=i: fleet.restart([1 + i % 9]))
     for i in range(0, processes, 2):
-        fleet.at(AT + 0.2 * i, lambda i=i: fleet.renewed(i))
+        fleet.at(AT + 0.2 * i, lambda i=i: fleet.restart_process(i))
     return fleet, EVERY[:9]
 
 
 def outage(processes: int, seed: int) -> tuple[Fleet, list[int]]:
-    """All are gone for 4 s, and three unlike ones come back: more processes share each than did before."""
+    """All servers are gone for 4 s and three different ones return, each shared by more processes."""
     fleet = mass(processes, seed, 0.9, speeds=KINDS, works=WORKS, rules={})
     fleet.at(AT - 4, lambda: fleet.lose(EVERY))
     fleet.at(AT, lambda: fleet.restart(EVERY[:3]))
@@ -324,14 +338,14 @@
 
 
 def small(processes: int, seed: int) -> tuple[Fleet, list[int]]:
-    """N is about 1 at the start: less than one call for each process."""
+    """N is about 1 at the start, which is less than one call for each process."""
     fleet = Fleet(processes, 20, 14, service=2.0, seed=seed, speeds=KINDS)
     fleet.at(15, lambda: fleet.restart(EVERY[:10]))
     return fleet, EVERY[:10]
 
 
 def long(processes: int, seed: int) -> tuple[Fleet, list[int]]:
-    """A window of 10 s, and a lull in which every bucket fills."""
+    """The window is 10 s long, and every token bucket fills in a time of little traffic."""
     fleet = mass(processes, seed, 0.8, rules=RAMP | {"overload_window": 10 * SEC})
     fleet.at(AT, lambda: fleet.restart(EVERY[:10]))
     for when, burst in ((AT + 1, 0.05), (AT + 4, 1.0)):
@@ -340,7 +354,7 @@
 
 
 def narrow(processes: int, seed: int) -> tuple[Fleet, list[int]]:
-    """Little to spare: 1.5 times the capacity pushes over, and machines are unlike."""
+    """1.5 times the capacity overloads a server, and machines differ."""
     fleet = mass(
         processes,
         seed,
@@ -366,15 +380,15 @@
 
 @pytest.mark.parametrize("processes", [20, 30])
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.__name__)
-def test_all_processes_together_keep_cold_servers_within_their_budget(case, processes):
+def test_all_processes_together_keep_cold_servers_within_budget(case, processes):
     bound, _, mean, _ = played(case, processes, 2)
     assert bound <= 1
-    assert mean > 0.03  # and they get their part
+    assert mean > 0.03  # cold servers do get calls
 
 
 @pytest.mark.parametrize("load", [0.9, 1.3])
-def test_what_processes_take_a_warm_server_to_bear_adds_up_to_what_it_bears(load):
-    """Failure prevented: the fullest windows of thirty processes add up to twice what a server bears."""
+def test_learned_rates_of_all_processes_add_up_to_server_capacity(load):
+    """Failure prevented: the busiest windows of thirty processes add up to twice a server's capacity."""
     fleet = Fleet(30, 20, 400 * load, service=0.1)
     fleet.at(15, lambda: fleet.restart(EVERY[:14]))
     fleet.play(27)
@@ -385,7 +399,7 @@
     assert 0.6 * 20 < together < 1.5 * 20
 
 
-def test_the_swarm_s_figure_counts_the_worst_window_of_all_processes():
+def test_swarm_metric_counts_the_worst_window_of_all_processes():
     n = cold.budget(3.0, 10.0, 2.0)
     assert n == pytest.approx(3.0 * (0.12 + 0.88 * 0.15) * 2.0 * 3.0)
     arrivals = {
@@ -395,7 +409,7 @@
     found = cold.figures(arrivals, {5: 100.0, 7: 100.0}, 10.0, 2.0)
     assert (
         found["cold_calls"] == 4
-    )  # not before its start, not when it was warm, not at one that did not start
+    )  # not before the start, not once warm, and not at a server that did not start
     windows = [
         (calls, cold.budget(age, 10.0, 2.0))
         for calls, age in ((2, 1.0), (3, 2.9), (4, 3.5))
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The subset of a copy: against a plain sort, its evenness and stability, and lists that come in parts."""
+"""Tests the subset of an instance: its members, evenness and stability, and full lists in parts."""
 
 from __future__ import annotations
 
@@ -28,157 +28,192 @@
     subset_slice,
 )
 
-LINES = st.lists(
+ENTRY_FIELDS = st.lists(
     st.tuples(st.integers(1, 40), st.integers(0, 3), st.integers(0, 2), st.booleans()),
     max_size=60,
 )
 
 
-def entries_of(lines) -> list[EndpointEntry]:
+def entries_of(fields) -> list[EndpointEntry]:
     return [
         EndpointEntry(
-            server,
+            endpoint,
             EndpointState.READY if ready else EndpointState.DRAINING,
             cell=kind,
             zone=zone,
             kind=kind,
         )
-        for server, kind, zone, ready in lines
+        for endpoint, kind, zone, ready in fields
     ]
 
 
-def sorted_stretch(
-    servers: dict[int, EndpointEntry], index: int, copies: int, size: int
+def expected_slice(
+    endpoints: dict[int, EndpointEntry], index: int, instance_count: int, size: int
 ) -> list[int]:
-    """The same by a sort of all servers: what the design says, with nothing clever."""
-    n = len(servers)
+    """Returns the expected slice of an instance, computed by sorting all endpoints."""
+    total = len(endpoints)
     kinds: dict[int, list[int]] = {}
-    for server in sorted(servers, key=lambda s: shuffle(s, 0)):
-        kinds.setdefault(servers[server].kind, []).append(server)
-    places = [
-        ((i + shuffle(kind, 0) / 2**64) / len(alike), server)
-        for kind, alike in kinds.items()
-        for i, server in enumerate(alike)
+    for endpoint in sorted(endpoints, key=lambda s: shuffle(s, 0)):
+        kinds.setdefault(endpoints[endpoint].kind, []).append(endpoint)
+    positions = [
+        ((i + shuffle(kind, 0) / 2**64) / len(same_kind), endpoint)
+        for kind, same_kind in kinds.items()
+        for i, endpoint in enumerate(same_kind)
     ]
-    order = [server for _, server in sorted(places)]
-    start, size = index % copies * n // copies, min(size, n)
+    order = [endpoint for _, endpoint in sorted(positions)]
+    start, size = index % instance_count * total // instance_count, min(size, total)
     end = start + size
-    if whole_parts(n, copies, size):
-        parts = next(k for k in range(copies + 1) if k * n >= size * copies)
-        end = (index % copies + parts) * n // copies
-    return [order[i % n] for i in range(start, end)]
+    if extends_to_whole_parts(total, instance_count, size):
+        parts = next(
+            k for k in range(instance_count + 1) if k * total >= size * instance_count
+        )
+        end = (index % instance_count + parts) * total // instance_count
+    return [order[i % total] for i in range(start, end)]
 
 
-def whole_parts(n: int, copies: int, size: int) -> bool:
-    """Whether a stretch is made longer by less than a part, so that all servers lie in as many stretches."""
-    return n <= max(SUBSET_LEAST, size // 2) * copies
+def extends_to_whole_parts(total: int, instance_count: int, size: int) -> bool:
+    """Returns whether slices end at whole parts, so that all endpoints lie in equally many slices."""
+    return total <= max(SUBSET_LEAST, size // 2) * instance_count
 
 
-def take(
-    roster: EndpointList, held: dict[int, EndpointEntry], entries: list[EndpointEntry]
+def apply_entries(
+    endpoint_list: EndpointList,
+    expected: dict[int, EndpointEntry],
+    entries: list[EndpointEntry],
 ) -> None:
     for entry in entries:
         if entry.state == EndpointState.READY:
-            held[entry.endpoint] = entry
-            roster.put(entry)
+            expected[entry.endpoint] = entry
+            endpoint_list.put(entry)
         else:
-            held.pop(entry.endpoint, None)
-            roster.remove(entry.endpoint)
+            expected.pop(entry.endpoint, None)
+            endpoint_list.remove(entry.endpoint)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(LINES, st.lists(LINES, max_size=3), LINES, st.integers(1, 9), st.integers(1, 30))
-def test_a_stretch_is_that_of_a_sorted_list(first, whole, later, copies, size):
-    """Changes, then whole lists in parts, then changes while what was left out is still being swept."""
-    roster, held = EndpointList(False, frozenset({DeduplicationScope.CELL})), {}
-    take(roster, held, entries_of(first))
-    if whole:
+@given(
+    ENTRY_FIELDS,
+    st.lists(ENTRY_FIELDS, max_size=3),
+    ENTRY_FIELDS,
+    st.integers(1, 9),
+    st.integers(1, 30),
+)
+def test_slice_matches_sorted_list(first, full_list_parts, later, instance_count, size):
+    """Applies changes, then a full list in parts with its sweep, then further changes."""
+    endpoint_list, expected = (
+        EndpointList(False, frozenset({DeduplicationScope.CELL})),
+        {},
+    )
+    apply_entries(endpoint_list, expected, entries_of(first))
+    if full_list_parts:
         named: dict[int, EndpointEntry] = {}
-        roster.begin()
-        for part in whole:
-            take(roster, named, entries_of(part))
-        held = named
-        if roster.end():
-            while roster.sweep():
+        endpoint_list.begin()
+        for part in full_list_parts:
+            apply_entries(endpoint_list, named, entries_of(part))
+        expected = named
+        if endpoint_list.end():
+            while endpoint_list.sweep():
                 pass
-    take(roster, held, entries_of(later))
-    assert len(roster) == len(held) == len(roster.endpoints)
-    assert roster.stale_count == 0
-    for server in range(1, 41):
-        assert (roster.get(server) is not None) == (server in held)
-    if held:
-        for index in range(copies):
+    apply_entries(endpoint_list, expected, entries_of(later))
+    assert len(endpoint_list) == len(expected) == len(endpoint_list.endpoints)
+    assert endpoint_list.stale_count == 0
+    for endpoint in range(1, 41):
+        assert (endpoint_list.get(endpoint) is not None) == (endpoint in expected)
+    if expected:
+        for index in range(instance_count):
             found = sorted(
                 s.id
                 for s in subset_slice(
-                    roster, roster.orders[ALL_ZONES], index, copies, size
+                    endpoint_list,
+                    endpoint_list.orders[ALL_ZONES],
+                    index,
+                    instance_count,
+                    size,
                 )
             )
-            assert found == sorted(sorted_stretch(held, index, copies, size))
-        cell = next(iter(held.values())).cell
-        alike = {
-            s.id for s in roster.in_scope(DeduplicationScope.CELL, 0, cell, 0.5, 100)
+            assert found == sorted(
+                expected_slice(expected, index, instance_count, size)
+            )
+        cell = next(iter(expected.values())).cell
+        in_scope = {
+            s.id
+            for s in endpoint_list.in_scope(DeduplicationScope.CELL, 0, cell, 0.5, 100)
         }
-        assert alike == {e.endpoint for e in held.values() if e.cell == cell}
-    for server in list(held):
-        roster.remove(server)
-    assert not roster.orders
-    assert not roster.scope_orders
-    assert len(roster) == 0
+        assert in_scope == {e.endpoint for e in expected.values() if e.cell == cell}
+    for endpoint in list(expected):
+        endpoint_list.remove(endpoint)
+    assert not endpoint_list.orders
+    assert not endpoint_list.scope_orders
+    assert len(endpoint_list) == 0
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(
     st.integers(30, 400), st.integers(2, 40), st.integers(1, 4), st.integers(0, 2**32)
 )
-def test_subsets_are_even_and_stable(n, copies, kinds, seed):
-    """Coverage to within one for all servers, the same for all where parts are small; a change moves one
-    member of a kind, and one more at an end, beside the changed one.
+def test_subsets_are_even_and_stable(total, instance_count, kinds, seed):
+    """Coverage differs by at most one between endpoints, and not at all where parts are small.
+
+    Apart from the changed endpoint, a change moves at most one member of each kind, and one more at the end
+    of a slice.
     """
     rng = Random(seed)
-    roster = EndpointList(False, frozenset())
-    for server in rng.sample(range(1 << 40), n):
-        roster.put(EndpointEntry(server, kind=server % kinds))
-    size = min(n, 24)
+    endpoint_list = EndpointList(False, frozenset())
+    for endpoint in rng.sample(range(1 << 40), total):
+        endpoint_list.put(EndpointEntry(endpoint, kind=endpoint % kinds))
+    size = min(total, 24)
 
     def subsets() -> list[set[int]]:
         return [
             {
                 s.id
-                for s in subset_slice(roster, roster.orders[ALL_ZONES], c, copies, size)
+                for s in subset_slice(
+                    endpoint_list,
+                    endpoint_list.orders[ALL_ZONES],
+                    c,
+                    instance_count,
+                    size,
+                )
             }
-            for c in range(copies)
+            for c in range(instance_count)
         ]
 
     before = subsets()
     for change in range(6):
-        server = (
-            rng.choice(list(roster.endpoints)) if change % 2 else rng.randrange(1 << 41)
+        endpoint = (
+            rng.choice(list(endpoint_list.endpoints))
+            if change % 2
+            else rng.randrange(1 << 41)
         )
         if change % 2:
-            roster.remove(server)
+            endpoint_list.remove(endpoint)
         else:
-            roster.put(EndpointEntry(server, kind=server % kinds))
+            endpoint_list.put(EndpointEntry(endpoint, kind=endpoint % kinds))
         after = subsets()
-        cover = Counter(s for members in after for s in members)
-        counts = [cover.get(s, 0) for s in roster.endpoints]
-        left = len(roster)
-        even = whole_parts(left, copies, min(size, left))
-        assert max(counts) - min(counts) <= (0 if even else 1)
-        longest = min(size, left) + (max(SUBSET_LEAST, size // 2) + 1 if even else 0)
+        coverage = Counter(s for members in after for s in members)
+        counts = [coverage.get(s, 0) for s in endpoint_list.endpoints]
+        remaining = len(endpoint_list)
+        equal_parts = extends_to_whole_parts(
+            remaining, instance_count, min(size, remaining)
+        )
+        assert max(counts) - min(counts) <= (0 if equal_parts else 1)
+        longest = min(size, remaining) + (
+            max(SUBSET_LEAST, size // 2) + 1 if equal_parts else 0
+        )
         assert all(
-            len(a - b) <= 1 + kinds + even and min(size, left) <= len(a) <= longest
+            len(a - b) <= 1 + kinds + equal_parts
+            and min(size, remaining) <= len(a) <= longest
             for a, b in zip(after, before, strict=True)
         )
         before = after
 
 
-def test_rolling_deploys_reach_every_server_and_a_copy_s_state_stays_bounded():
-    """Thousands of servers, each taken out and put back: what a copy knows is of members and a few more."""
+def test_rolling_deploys_reach_every_endpoint_and_state_stays_bounded():
+    """Each of 3000 endpoints drains and returns; the instance keeps state of members and a few more only."""
     node, rec = balancer(
         [EndpointEntry(i) for i in range(1, 3001)], instances=100, index=40
     )
-    now, taken = SEC, 0
+    now, last_request = SEC, 0
     for first in range(1, 3001, 50):
         for state in (EndpointState.DRAINING, EndpointState.READY):
             now += 1000
@@ -190,25 +225,25 @@
             node.update_endpoints(now, ListUpdateKind.CHANGES, batch)
             gone = {e.endpoint for e in batch if e.state != EndpointState.READY}
             assert not gone & {m.id for m in node.subset.members}
-            taken += 1
-            node.request(now, taken, 0, 0, 2 * SEC, False)
-            for _, request, server, _ in rec.take("send"):
-                assert server not in gone
-                node.outcome(now + 500, request, 0, server, Outcome.OK, 500, True, ())
+            last_request += 1
+            node.request(now, last_request, 0, 0, 2 * SEC, False)
+            for _, request, endpoint, _ in rec.take("send"):
+                assert endpoint not in gone
+                node.outcome(now + 500, request, 0, endpoint, Outcome.OK, 500, True, ())
     assert len(node.subset.endpoint_list) == 3000
     assert len(node.subset.members) == 30
     assert len(node.table.endpoints) <= SUBSET_BOUND + MAX_FORMER_MEMBERS
 
 
-def test_repeats_outside_the_subset_leave_little_behind():
-    """Failure prevented: each keyed repeat gets to know servers of its cell, and none is ever forgotten."""
+def test_retries_outside_the_subset_leave_bounded_state():
+    """Failure prevented: each keyed retry adds endpoints of its cell to the table, and none is dropped."""
     entries = [EndpointEntry(i, cell=i % 100) for i in range(1, 3001)]
     node, rec = balancer(entries, instances=100)  # 30 members
     repeats = 0
     for i in range(400):
         now = SEC + i * SEC // 2
-        node.retries.tokens = 3.0  # as if most calls went well
-        node.outliers.failure_rate = 0.9  # ...and nobody is ejected
+        node.retries.tokens = 3.0  # as if most calls succeeded
+        node.outliers.failure_rate = 0.9  # so high that no endpoint is ejected
         node.request(now, i, 1, 0, 3 * SEC, False)
         ((_, _, first, _),) = rec.take("send")
         node.outcome(now + 1000, i, 0, first, Outcome.ERROR, 1000, False, ())
@@ -222,8 +257,8 @@
     assert node.limit.in_flight == 0
 
 
-def test_a_whole_list_in_parts_replaces_every_server():
-    """The hardest list: no name stays. Old ones serve until the last part and never after it."""
+def test_full_list_in_parts_replaces_every_endpoint():
+    """The new list names no old endpoint. Old endpoints serve until the last part and never after it."""
     old, new = range(1, 4001), range(10_001, 14_001)
     node, rec = balancer([EndpointEntry(i) for i in old], instances=200, index=7)
     parts = [[EndpointEntry(i) for i in new[k : k + 500]] for k in range(0, 4000, 500)]
@@ -233,9 +268,9 @@
         nonlocal request
         request += 1
         node.request(now, request, 0, 0, 2 * SEC, False)
-        ((_, _, server, _),) = rec.take("send")
-        node.outcome(now + 400, request, 0, server, Outcome.OK, 20_000, True, ())
-        return server
+        ((_, _, endpoint, _),) = rec.take("send")
+        node.outcome(now + 400, request, 0, endpoint, Outcome.OK, 20_000, True, ())
+        return endpoint
 
     for i, part in enumerate(parts):
         more = i + 1 < len(parts)
@@ -243,10 +278,10 @@
         timers = rec.take("set_timer")
         assert len(node.subset.members) >= 4
         for turn in range(20):
-            server = sent_to(SEC + i * 1000 + turn)
-            assert more or server in new
+            endpoint = sent_to(SEC + i * 1000 + turn)
+            assert more or endpoint in new
     steps = 0
-    while timers:  # the sweep goes on between other events
+    while timers:  # the sweep continues between other events
         ((_, _, token),) = timers
         steps += 1
         node.timer(2 * SEC + steps * 1000, token)
@@ -264,7 +299,7 @@
     )
 
 
-def test_a_whole_list_in_parts_may_be_followed_by_another_before_its_sweep():
+def test_full_list_in_parts_may_follow_another_before_its_sweep():
     node, rec = balancer([EndpointEntry(i) for i in range(1, 2001)], instances=50)
     node.update_endpoints(
         SEC, ListUpdateKind.FULL, [EndpointEntry(i) for i in range(1501, 2001)]
@@ -290,8 +325,8 @@
     assert {m.id for m in node.subset.members} <= set(range(1501, 1801))
 
 
-def test_a_change_of_what_counts_lays_the_servers_out_anew():
-    """Zones begin to count with new settings, and a class with repeats within a cell."""
+def test_changed_settings_rebuild_the_orders():
+    """New settings separate zones and add a class whose retries stay within a cell."""
     keyed = BASE.classes[1].__class__(
         Idempotency.WITH_KEY,
         latency_objective=SEC,
@@ -325,12 +360,12 @@
     assert not node.subset.members
 
 
-def test_the_same_events_lead_to_the_same_members():
+def test_same_events_lead_to_same_members():
     def play() -> list[list[int]]:
         rec = Recorder()
         node = Balancer(BASE, 3, rec)  # type: ignore[arg-type]
         node.start(0)
-        rng, told = Random(5), []
+        rng, members_by_step = Random(5), []
         for step in range(200):
             entries = [
                 EndpointEntry(
@@ -342,7 +377,7 @@
             ]
             kind = ListUpdateKind.FULL if step % 40 == 39 else ListUpdateKind.CHANGES
             node.update_endpoints(step, kind, entries)
-            told.append([m.id for m in node.subset.members])
-        return told
+            members_by_step.append([m.id for m in node.subset.members])
+        return members_by_step
 
     assert play() == play()
--- a/tests/test_ranked_order.py
+++ b/tests/test_ranked_order.py
@@ -1,4 +1,4 @@
-"""The order of servers against a plain sorted list, and the windows that copies take of it."""
+"""Tests `RankedOrder` against a sorted list, and the windows of it that instances use."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from loadbalancer.policy.ranked_order import RankedOrder, shuffle
 
-# Few different high bits, so that keys share long prefixes as well.
+# Small numbers, and numbers that differ only in their high bits, so that some keys share long prefixes.
 KEYS = st.one_of(
     st.integers(0, 63),
     st.integers(0, 2**64 - 1),
@@ -25,26 +25,29 @@
     st.integers(0, 80),
     st.integers(0, 80),
 )
-def test_it_does_as_a_sorted_list(
+def test_matches_sorted_list(
     steps: list[tuple[bool, int]], probe: int, start: int, count: int
 ) -> None:
     order: RankedOrder[str] = RankedOrder()
-    held: dict[int, str] = {}
-    for put, key in steps:
-        if put == (key in held):
+    expected_items: dict[int, str] = {}
+    for is_add, key in steps:
+        if is_add == (key in expected_items):
             with pytest.raises(KeyError):
-                order.add(key, "twice") if put else order.remove(key)
-        elif put:
-            held[key] = str(key)
+                order.add(key, "twice") if is_add else order.remove(key)
+        elif is_add:
+            expected_items[key] = str(key)
             order.add(key, str(key))
         else:
-            assert order.remove(key) == held.pop(key)
-        assert len(order) == len(held)
-    keys = sorted(held)
-    assert (probe in order) == (probe in held)
+            assert order.remove(key) == expected_items.pop(key)
+        assert len(order) == len(expected_items)
+    keys = sorted(expected_items)
+    assert (probe in order) == (probe in expected_items)
     assert order.rank(probe) == sum(k < probe for k in keys)
     expected = (
-        [held[keys[(start + i) % len(keys)]] for i in range(min(count, len(keys)))]
+        [
+            expected_items[keys[(start + i) % len(keys)]]
+            for i in range(min(count, len(keys)))
+        ]
         if keys
         else []
     )
@@ -57,23 +60,25 @@
     st.sets(KEYS, max_size=20),
     st.randoms(use_true_random=False),
 )
-def test_its_shape_hangs_on_the_keys_alone(
-    keys: set[int], others: set[int], rng
-) -> None:
-    straight: RankedOrder[int] = RankedOrder()
+def test_shape_depends_only_on_keys(keys: set[int], others: set[int], rng) -> None:
+    sorted_order: RankedOrder[int] = RankedOrder()
     for key in sorted(keys):
-        straight.add(key, key)
-    roundabout: RankedOrder[int] = RankedOrder()
-    mixed = list(keys | others)
-    rng.shuffle(mixed)
-    for key in mixed:
-        roundabout.add(key, key)
+        sorted_order.add(key, key)
+    shuffled_order: RankedOrder[int] = RankedOrder()
+    shuffled_keys = list(keys | others)
+    rng.shuffle(shuffled_keys)
+    for key in shuffled_keys:
+        shuffled_order.add(key, key)
     for key in others - keys:
-        roundabout.remove(key)
-    assert shape(straight, straight.root) == shape(roundabout, roundabout.root)
-    # Places are used again: no more of them than were ever needed at one time.
-    assert len(roundabout.items) <= len(keys | others)
-    assert len(roundabout.counts) - len(roundabout.free_nodes) == len(straight.counts)
+        shuffled_order.remove(key)
+    assert shape(sorted_order, sorted_order.root) == shape(
+        shuffled_order, shuffled_order.root
+    )
+    # Indexes are reused: there are no more of them than items at one time.
+    assert len(shuffled_order.items) <= len(keys | others)
+    assert len(shuffled_order.counts) - len(shuffled_order.free_nodes) == len(
+        sorted_order.counts
+    )
 
 
 def shape(order: RankedOrder, node: int):
@@ -90,41 +95,45 @@
     return 1 + max(depth(order, side[node]) for side in order.sides) if node >= 0 else 0
 
 
-def test_fifty_thousand_servers_lie_on_short_paths() -> None:
+def test_paths_are_short_with_50_000_endpoints() -> None:
     order: RankedOrder[int] = RankedOrder()
-    for server in range(50_000):  # the least random numbers there are
-        order.add(shuffle(server, 0), server)
+    for endpoint in range(50_000):  # consecutive numbers, the least random ones
+        order.add(shuffle(endpoint, 0), endpoint)
     assert len(order) == 50_000
     assert depth(order, order.root) <= 48
-    # Windows that start evenly spaced by rank cover all servers to within one.
-    copies, width = 1000, 120
-    cover = Counter(
-        s for c in range(copies) for s in order.window(c * len(order) // copies, width)
+    # With windows that start evenly spaced by rank, coverage differs by at most one.
+    instances, width = 1000, 120
+    coverage = Counter(
+        s
+        for c in range(instances)
+        for s in order.window(c * len(order) // instances, width)
     )
-    assert len(cover) == 50_000
-    assert set(cover.values()) <= {2, 3}
+    assert len(coverage) == 50_000
+    assert set(coverage.values()) <= {2, 3}
 
 
-def test_a_change_moves_at_most_one_other_member() -> None:
+def test_change_moves_at_most_one_other_member() -> None:
     order: RankedOrder[int] = RankedOrder()
-    for server in range(500):
-        order.add(shuffle(server, 0), server)
-    copies, width = 60, 24
+    for endpoint in range(500):
+        order.add(shuffle(endpoint, 0), endpoint)
+    instances, width = 60, 24
 
     def members() -> list[set[int]]:
         return [
-            set(order.window(c * len(order) // copies, width)) for c in range(copies)
+            set(order.window(c * len(order) // instances, width))
+            for c in range(instances)
         ]
 
     before = members()
-    for server in range(0, 500, 7):
-        order.remove(shuffle(server, 0))
+    for endpoint in range(0, 500, 7):
+        order.remove(shuffle(endpoint, 0))
         after = members()
         assert (
-            max(len(a - b - {server}) for a, b in zip(before, after, strict=True)) <= 1
+            max(len(a - b - {endpoint}) for a, b in zip(before, after, strict=True))
+            <= 1
         )
         before = after
-        order.add(shuffle(server + 1000, 0), server + 1000)
+        order.add(shuffle(endpoint + 1000, 0), endpoint + 1000)
         after = members()
         assert max(len(a - b) for a, b in zip(before, after, strict=True)) <= 2
         before = after
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -1,4 +1,4 @@
-"""The judge of zones by itself, the operators' file, and the module under a verdict."""
+"""Tests the zone failover policy, the operator's configuration file, and a balancer with a fixed decision."""
 
 from __future__ import annotations
 
@@ -43,207 +43,209 @@
 A, B, C = 0, 1, 2
 
 
-class Site:
-    """Three zones of ten servers and two copies each; one copy's judge is asked ten times a second."""
+class ThreeZones:
+    """Three zones of ten endpoints and two instances; one instance's policy decides ten times a second."""
 
     def __init__(
-        self, rules: ZoneFailoverRules, here: int = A, load: float = 100.0
+        self, rules: ZoneFailoverRules, own_zone: int = A, load: float = 100.0
     ) -> None:
-        self.judge = ZoneFailover(rules, here)
-        self.here, self.load = here, load
+        self.policy = ZoneFailover(rules, own_zone)
+        self.own_zone, self.load = own_zone, load
         self.ready = {A: 10, B: 10, C: 10}
         self.warm: dict[int, float] = {}
-        self.unwell: dict[int, float] = {}
-        self.well = self.refuses = True
+        self.unhealthy_parts: dict[int, float] = {}
+        self.healthy = self.may_reject = True
         self.now = 0
 
     def step(self) -> ZoneDecision:
         self.now += STEP
-        asked = self.load * STEP / 1e6
-        return self.judge.decide(
+        requests = self.load * STEP / 1e6
+        return self.policy.decide(
             self.now,
             ZoneObservation(
                 ready={z: n for z, n in self.ready.items() if n},
                 warm={
                     z: self.warm.get(z, float(n)) for z, n in self.ready.items() if n
                 },
-                unhealthy=self.unwell,
-                requests_by_class=(int(asked / 2), int(asked / 2)),
-                attempts_by_zone={self.here: int(asked)},
+                unhealthy=self.unhealthy_parts,
+                requests_by_class=(int(requests / 2), int(requests / 2)),
+                attempts_by_zone={self.own_zone: int(requests)},
                 cost_by_class=(1.0, 1.0),
                 priority_weights=(1.0, 10.0),
                 instances=6,
-                healthy=self.well,
-                may_reject=self.refuses,
+                healthy=self.healthy,
+                may_reject=self.may_reject,
             ),
         )
 
     def run(self, seconds: float) -> ZoneDecision:
         for _ in range(int(seconds * SEC / STEP)):
-            verdict = self.step()
-        return verdict
+            decision = self.step()
+        return decision
 
 
-def shares(verdict: ZoneDecision) -> dict[int, float]:
-    return {zone: round(share, 3) for zone, share in verdict.shares}
+def shares(decision: ZoneDecision) -> dict[int, float]:
+    return {zone: round(share, 3) for zone, share in decision.shares}
 
 
-def test_calls_stay_in_their_zone_while_it_bears_them():
-    site = Site(ZoneFailoverRules())
+def test_calls_stay_in_their_zone_while_it_has_capacity():
+    site = ThreeZones(ZoneFailoverRules())
     assert (
         site.run(MIN_OBSERVED_TIME_US / SEC - 1).shares == ()
-    )  # it has only looked on
-    verdict = site.run(10)
-    assert shares(verdict) == {A: 1.0, B: 0.0, C: 0.0}
-    assert not any(verdict.reject)
+    )  # it only observes at first
+    decision = site.run(10)
+    assert shares(decision) == {A: 1.0, B: 0.0, C: 0.0}
+    assert not any(decision.reject)
 
 
-def test_a_lost_zone_spills_up_to_the_limit_and_refuses_the_rest_worth_least_first():
-    """Two copies of B share what is free in A and C: 0.2 of 25 calls a second for each of 20 servers."""
-    site = Site(ZoneFailoverRules(spill_limit=0.2, server_rate=25.0), here=B)
+def test_lost_zone_spills_up_to_the_limit_and_rejects_lowest_value_first():
+    """Two instances of B share the spill capacity of A and C: 0.2 of 25 calls/s for each of 20 endpoints."""
+    site = ThreeZones(ZoneFailoverRules(spill_limit=0.2, server_rate=25.0), own_zone=B)
     site.run(40)
     site.ready[B] = 0
-    verdict = site.run(4)
-    assert shares(verdict)[B] == 0
-    assert site.judge.spilled_share * site.judge.load * 2 == pytest.approx(
+    decision = site.run(4)
+    assert shares(decision)[B] == 0
+    assert site.policy.spilled_share * site.policy.load * 2 == pytest.approx(
         0.2 * 25 * 20, rel=0.05
     )
-    assert site.judge.rejected_share == pytest.approx(0.5, rel=0.06)
-    worthless, worthy = verdict.reject
-    assert worthless == pytest.approx(1.0, abs=0.06)
-    assert worthy < 0.06
-    # Below the first tier nothing is refused, and no more goes to the others either.
-    site.refuses = False
-    verdict = site.run(1)
-    assert not any(verdict.reject)
-    assert shares(verdict)[B] == pytest.approx(0.5, rel=0.06)
-
-
-def test_the_limit_never_takes_more_than_the_other_zones_have_free():
-    site = Site(ZoneFailoverRules(spill_limit=0.9, server_rate=25.0), here=B)
+    assert site.policy.rejected_share == pytest.approx(0.5, rel=0.06)
+    low_value_rejected, high_value_rejected = decision.reject
+    assert low_value_rejected == pytest.approx(1.0, abs=0.06)
+    assert high_value_rejected < 0.06
+    # Below the first tier nothing is rejected, and the other zones get no more calls either.
+    site.may_reject = False
+    decision = site.run(1)
+    assert not any(decision.reject)
+    assert shares(decision)[B] == pytest.approx(0.5, rel=0.06)
+
+
+def test_spill_never_exceeds_free_capacity_of_other_zones():
+    site = ThreeZones(ZoneFailoverRules(spill_limit=0.9, server_rate=25.0), own_zone=B)
     site.run(120)
     site.ready[B] = 0
     site.run(2)
-    # Each server there has 20 of its 25 calls a second already.
-    assert site.judge.spilled_share * site.judge.load * 2 == pytest.approx(
+    # Each endpoint there gets 20 of the 25 calls per second that it can take from its own zone.
+    assert site.policy.spilled_share * site.policy.load * 2 == pytest.approx(
         5 * 20, rel=0.05
     )
 
 
-def test_two_lost_zones_share_the_room_that_is_left_without_a_word():
-    site = Site(ZoneFailoverRules(spill_limit=0.2, server_rate=25.0), here=B)
+def test_two_lost_zones_share_spill_capacity_without_messages():
+    site = ThreeZones(ZoneFailoverRules(spill_limit=0.2, server_rate=25.0), own_zone=B)
     site.run(40)
     site.ready[B] = site.ready[C] = 0
     site.run(4)
-    assert site.judge.spilled_share * site.judge.load * 2 == pytest.approx(
+    assert site.policy.spilled_share * site.policy.load * 2 == pytest.approx(
         0.2 * 25 * 10 / 2, rel=0.05
     )
 
 
 @pytest.mark.parametrize("rate", [25.0, 0.0])
-def test_with_half_of_every_zone_lost_none_sends_to_the_others(rate):
-    """Failure prevented: each hands the others what they hand it, and all pay for the crossing."""
-    site = Site(ZoneFailoverRules(spill_limit=0.3, server_rate=rate), here=B)
+def test_no_spill_when_half_of_every_zone_is_lost(rate):
+    """Failure prevented: the zones exchange their excess, and all calls pay the cost of crossing."""
+    site = ThreeZones(ZoneFailoverRules(spill_limit=0.3, server_rate=rate), own_zone=B)
     site.run(40)
     site.ready = dict.fromkeys((A, B, C), 5)
-    site.well = False
+    site.healthy = False
     site.run(10)
-    assert site.judge.spilled_share == 0
-    assert site.judge.rejected_share > 0.3
+    assert site.policy.spilled_share == 0
+    assert site.policy.rejected_share > 0.3
 
 
 def test_near_zones_are_filled_before_far_ones():
-    site = Site(
+    site = ThreeZones(
         ZoneFailoverRules(near=frozenset({C}), spill_limit=0.5, server_rate=40.0),
-        here=B,
+        own_zone=B,
         load=40.0,
     )
     site.run(40)
     site.ready[B] = 0
-    verdict = shares(site.run(2))
-    assert verdict[C] == 1.0
-    assert verdict.get(A, 0.0) == 0.0
+    decision = shares(site.run(2))
+    assert decision[C] == 1.0
+    assert decision.get(A, 0.0) == 0.0
 
 
-def test_repeats_of_what_is_refused_are_not_taken_for_load_elsewhere():
-    """Failure prevented: clients come again for what was refused, the zone thinks all zones busier, and
-    refuses more.
+def test_retries_of_rejected_calls_do_not_count_as_load_of_other_zones():
+    """Failure prevented: clients retry rejected calls, the zone assumes that all zones are busier, and
+    rejects more.
     """
-    site = Site(ZoneFailoverRules(spill_limit=0.2, server_rate=25.0), here=B)
+    site = ThreeZones(ZoneFailoverRules(spill_limit=0.2, server_rate=25.0), own_zone=B)
     site.run(40)
     site.ready[B] = 0
     site.run(2)
-    before = site.judge.spilled_share * site.judge.load
+    before = site.policy.spilled_share * site.policy.load
     site.load *= 3
     site.run(10)
-    assert site.judge.spilled_share * site.judge.load == pytest.approx(before, rel=0.05)
+    assert site.policy.spilled_share * site.policy.load == pytest.approx(
+        before, rel=0.05
+    )
 
 
-def test_a_whole_zone_that_is_lost_leaves_no_room_for_spill_between_the_others():
-    """Its clients come here as they come to the third zone; passing them on to each other helps nobody."""
-    site = Site(ZoneFailoverRules(spill_limit=0.3, server_rate=25.0), here=A)
+def test_lost_zone_leaves_no_spill_between_the_others():
+    """The lost zone's clients move to both other zones, so spilling between those two would not help."""
+    site = ThreeZones(ZoneFailoverRules(spill_limit=0.3, server_rate=25.0), own_zone=A)
     site.run(40)
     site.ready[B] = 0
     site.load = 140.0
-    site.well = False
+    site.healthy = False
     site.run(10)
-    assert site.judge.spilled_share == 0
-    assert site.judge.rejected_share == pytest.approx(1 - 125 / 140, abs=0.01)
+    assert site.policy.spilled_share == 0
+    assert site.policy.rejected_share == pytest.approx(1 - 125 / 140, abs=0.01)
 
 
-def test_the_way_back_follows_warmth_and_doubles_with_each_loss():
+def test_recovery_ramp_follows_warm_endpoints_and_doubles_with_each_loss():
     rules = ZoneFailoverRules(return_time=10 * SEC, server_rate=25.0)
-    site = Site(rules, here=A)
+    site = ThreeZones(rules, own_zone=A)
     site.run(40)
     times = []
     for _ in range(3):
         site.ready[B] = 0
         site.run(20)
-        assert site.judge.zones[B].usable_endpoints == 0
+        assert site.policy.zones[B].usable_endpoints == 0
         site.ready[B] = 10
         site.step()
         steps = 0
-        while site.judge.zones[B].usable_endpoints < 10:
-            before = site.judge.zones[B].usable_endpoints
+        while site.policy.zones[B].usable_endpoints < 10:
+            before = site.policy.zones[B].usable_endpoints
             site.step()
-            assert site.judge.zones[B].usable_endpoints >= before
+            assert site.policy.zones[B].usable_endpoints >= before
             steps += 1
         times.append(steps * STEP / SEC)
     assert times == pytest.approx([10, 20, 40], abs=0.5)
     site.run(rules.calm_time / SEC)
     site.ready[B] = 0
     site.run(1)
-    site.ready[B], site.warm[B] = 10, 2.5  # cold: not more than its servers bear
+    site.ready[B], site.warm[B] = 10, 2.5  # cold: no more than its endpoints can take
     site.run(9)
-    assert site.judge.zones[B].usable_endpoints == 2.5
-    assert site.judge.zones[B].loss_count == 1
+    assert site.policy.zones[B].usable_endpoints == 2.5
+    assert site.policy.zones[B].loss_count == 1
 
 
-def test_panic_begins_and_ends_at_different_shares():
-    site = Site(ZoneFailoverRules(panic_below=0.5, panic_until=0.7))
-    told = []
+def test_panic_starts_and_stops_at_different_shares():
+    site = ThreeZones(ZoneFailoverRules(panic_below=0.5, panic_until=0.7))
+    panics = []
     for unwell in (0.0, 0.45, 0.55, 0.45, 0.35, 0.25, 0.45):
-        site.unwell = dict.fromkeys((A, B, C), unwell)
-        told.append(site.step().panic)
-    assert told == [False, False, True, True, True, False, False]
-    site.unwell = {B: 1.0}  # one zone of three: it is avoided, no panic
+        site.unhealthy_parts = dict.fromkeys((A, B, C), unwell)
+        panics.append(site.step().panic)
+    assert panics == [False, False, True, True, True, False, False]
+    site.unhealthy_parts = {B: 1.0}  # one zone of three: it is avoided without a panic
     assert not site.step().panic
-    assert site.judge.zones[B].usable_endpoints == 0
+    assert site.policy.zones[B].usable_endpoints == 0
 
 
-def test_a_new_judge_does_not_take_the_little_it_has_seen_for_all_there_is():
-    """Failure prevented: a node that starts into a zone of cold servers refuses nearly everything."""
-    site = Site(ZoneFailoverRules(), here=A, load=1.0)
+def test_new_policy_does_not_take_a_low_observed_rate_for_the_capacity():
+    """Failure prevented: a node that starts in a zone of cold endpoints rejects nearly every call."""
+    site = ThreeZones(ZoneFailoverRules(), own_zone=A, load=1.0)
     site.warm[A] = 2.0
     for _ in range(300):
         assert not any(site.step().reject)
-    site.warm[A], site.load, site.well = 10.0, 100.0, False
+    site.warm[A], site.load, site.healthy = 10.0, 100.0, False
     assert site.run(10).shares == ()
 
 
 RATES = st.just(0.0) | st.floats(
     0.1, 100
-)  # less is nobody's traffic, and lost in rounding
+)  # lower rates are unrealistic and get lost in rounding
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -253,72 +255,74 @@
     ),
     st.floats(0, 1),
 )
-def test_what_is_refused_is_the_excess_and_worth_least(classes, excess):
-    rates, cost, worth = zip(*classes, strict=True)
-    parts = rejected_parts(rates, cost, worth, excess)
+def test_rejected_calls_are_the_excess_of_lowest_value(classes, excess):
+    rates, cost, weights = zip(*classes, strict=True)
+    parts = rejected_parts(rates, cost, weights, excess)
     work = [r * c for r, c in zip(rates, cost, strict=True)]
     assert all(0 <= p <= 1 for p in parts)
     total = sum(p * w for p, w in zip(parts, work, strict=True))
     assert total == pytest.approx(excess * sum(work), rel=1e-6, abs=1e-6)
-    density = [w / c for w, c in zip(worth, cost, strict=True)]
+    value_per_cost = [w / c for w, c in zip(weights, cost, strict=True)]
     for i, p in enumerate(parts):
         for j, q in enumerate(parts):
-            if density[i] < density[j] and work[i] > 0 and q > 1e-6:
+            if value_per_cost[i] < value_per_cost[j] and work[i] > 0 and q > 1e-6:
                 assert p == pytest.approx(1.0)
 
 
-class Fixed:
-    """A judge that always says the same."""
+class FixedPolicy:
+    """A zone policy with a fixed decision."""
 
-    def __init__(self, verdict: ZoneDecision) -> None:
-        self.verdict = verdict
-        self.states: list[ZoneObservation] = []
+    def __init__(self, decision: ZoneDecision) -> None:
+        self.decision = decision
+        self.observations: list[ZoneObservation] = []
 
-    def decide(self, now: int, state: ZoneObservation) -> ZoneDecision:
-        self.states.append(state)
-        return self.verdict
+    def decide(self, now: int, observation: ZoneObservation) -> ZoneDecision:
+        self.observations.append(observation)
+        return self.decision
 
     def metrics(self) -> dict[str, float]:
         return {"zone_spilled": 0.5}
 
 
-def judged(verdict: ZoneDecision, count: int = 400):
+def run_with_decision(decision: ZoneDecision, count: int = 400):
     entries = [EndpointEntry(i + 1, zone=i % 3) for i in range(30)]
     node, rec = balancer(entries, instances=6)
-    judge = Fixed(verdict)
-    node.update_zone_policy(0, judge)
-    sent, refused_now = {A: 0, B: 0, C: 0}, [0, 0, 0]
+    policy = FixedPolicy(decision)
+    node.update_zone_policy(0, policy)
+    sent, rejected = {A: 0, B: 0, C: 0}, [0, 0, 0]
     for i in range(count):
         now = i * 20_000
         node.request(now, i, i % 3, 0, 3 * SEC, False)
         for action in rec.take("send", "reject"):
             if action[0] == "reject":
-                refused_now[i % 3] += 1
+                rejected[i % 3] += 1
             else:
                 sent[(action[2] - 1) % 3] += 1
                 end(node, rec, now + 10_000, i, 0, action[2], Outcome.OK)
-    return node, judge, sent, refused_now
+    return node, policy, sent, rejected
 
 
-def test_the_module_sends_by_the_verdict_and_refuses_by_class():
-    node, judge, sent, gone = judged(
+def test_balancer_sends_by_the_decision_and_rejects_by_class():
+    node, policy, sent, rejected = run_with_decision(
         ZoneDecision(((A, 0.75), (B, 0.25)), (1.0, 0.0, 0.0))
     )
     total = sum(sent.values())
     assert sent[C] == 0
     assert 0.65 < sent[A] / total < 0.85
-    assert gone[0] > 120
-    assert gone[1] == gone[2] == 0
-    assert judge.states[-1].ready == {A: 10, B: 10, C: 10}
-    assert sum(judge.states[-1].requests_by_class) >= 5
+    assert rejected[0] > 120
+    assert rejected[1] == rejected[2] == 0
+    assert policy.observations[-1].ready == {A: 10, B: 10, C: 10}
+    assert sum(policy.observations[-1].requests_by_class) >= 5
     assert node.stats()["zone_spilled"] == 0.5
 
 
-def test_without_anyone_in_the_first_zone_the_others_take_calls_unless_they_are_limited():
-    node, _, sent, gone = judged(ZoneDecision(((A, 1.0), (B, 0.0), (C, 0.0))))
+def test_other_zones_take_calls_of_an_empty_zone_unless_calls_are_rejected():
+    node, _, sent, rejected = run_with_decision(
+        ZoneDecision(((A, 1.0), (B, 0.0), (C, 0.0)))
+    )
     assert sent[A]
     assert not sent[B]
-    assert not sum(gone)
+    assert not sum(rejected)
     node.update_endpoints(
         20 * SEC,
         ListUpdateKind.CHANGES,
@@ -334,12 +338,12 @@
     assert node.context.actions.take("send", "reject")[0][0] == "reject"
 
 
-def test_in_panic_nobody_is_avoided():
-    node, judge, _, _ = judged(ZoneDecision(((A, 1.0), (B, 0.0), (C, 0.0))))
+def test_panic_avoids_no_endpoint():
+    node, policy, _, _ = run_with_decision(ZoneDecision(((A, 1.0), (B, 0.0), (C, 0.0))))
     victim = node.subset.eligible_by_zone[A][0]
     node.outliers.eject(9 * SEC, victim, silent=False)
     assert victim.ejected
-    judge.verdict = ZoneDecision(((A, 1.0),), (), True)
+    policy.decision = ZoneDecision(((A, 1.0),), (), True)
     node.decide_zones(10 * SEC)
     assert not victim.ejected
     assert not node.outliers.ejected
@@ -373,7 +377,7 @@
         ("[zones", ["not TOML"]),
     ],
 )
-def test_a_file_that_cannot_be_used_says_where_and_what(text, words, tmp_path):
+def test_unusable_file_is_reported_with_path_and_rule(text, words, tmp_path):
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(OperatorConfigError) as failed:
@@ -389,7 +393,7 @@
     assert done.stderr.count("\n") == 1
 
 
-def test_the_file_as_delivered_switches_nothing_on_and_shows_every_key():
+def test_delivered_file_enables_nothing_and_shows_every_key():
     text = (ROOT / "deploy" / "operator.toml").read_text()
     assert load(str(ROOT / "deploy" / "operator.toml")) == NO_TABLES
     import tomllib
@@ -410,8 +414,8 @@
     )
 
 
-def test_a_running_node_takes_the_file_whole_or_not_at_all(tmp_path):
-    """SIGHUP: a good file switches zones on, a broken one changes nothing, an empty one switches them off."""
+def test_running_node_applies_the_file_completely_or_not_at_all(tmp_path):
+    """On SIGHUP a valid file enables zones, an invalid one changes nothing, an empty one disables them."""
 
     async def scene():
         await (server := Server()).start()
@@ -438,8 +442,8 @@
         node.send_signal(signal.SIGHUP)
         assert b"reload applied discovery=" in await node.stderr.readline()
         assert (await client.ask(call()))[0] == 200
-        figures = (await ask(control, "/admin/stats"))[2]
-        assert (figures["sighup_applied"], figures["sighup_rejected"]) == (1, 1)
+        stats = (await ask(control, "/admin/stats"))[2]
+        assert (stats["sighup_applied"], stats["sighup_rejected"]) == (1, 1)
         client.writer.close()
         node.terminate()
         assert await asyncio.wait_for(node.wait(), 20) == 0
@@ -447,21 +451,21 @@
     play(scene)
 
 
-def test_what_was_learned_stays_when_the_rules_change():
+def test_learned_state_stays_when_the_rules_change():
     async def scene():
         bench = await Bench(Server()).start()
         node, zones = bench.node, build({"zones": {}}, "x")
         assert node.balancer.zones.policy is None
         assert not node.balancer.spill.enabled
         node.reload(node.config, zones)
-        judge = node.balancer.zones.policy
-        assert isinstance(judge, ZoneFailover)
+        policy = node.balancer.zones.policy
+        assert isinstance(policy, ZoneFailover)
         assert node.balancer.spill.enabled
-        judge.proven_rate = 12.0
+        policy.proven_rate = 12.0
         node.reload(node.config, build({"zones": {"spill_limit_percent": 5}}, "x"))
-        assert node.balancer.zones.policy is judge
-        assert judge.rules.spill_limit == 0.05
-        assert judge.endpoint_rate == 15.0
+        assert node.balancer.zones.policy is policy
+        assert policy.rules.spill_limit == 0.05
+        assert policy.endpoint_rate == 15.0
         assert (await bench.once(call()))[0] == 200
         node.reload(node.config, None)
         assert node.balancer.zones.policy is None
@@ -471,37 +475,37 @@
     play(scene)
 
 
-def test_a_zone_that_comes_back_waits_to_be_let_unless_another_is_lost():
-    site = Site(ZoneFailoverRules(return_time=4 * SEC, server_rate=25.0))
+def test_returning_zone_waits_for_approval_unless_another_is_lost():
+    site = ThreeZones(ZoneFailoverRules(return_time=4 * SEC, server_rate=25.0))
     site.run(40)
-    site.judge.approval_required = True
+    site.policy.approval_required = True
     site.ready[B] = 2
     site.run(5)
     site.ready[B] = 10
     site.run(20)
-    zones = site.judge.zones
+    zones = site.policy.zones
     assert zones[B].lost
     assert zones[B].usable_endpoints == 2
-    assert set(site.judge.awaiting_approval) == {B}
-    site.judge.approved_returns.add(B)
+    assert set(site.policy.awaiting_approval) == {B}
+    site.policy.approved_returns.add(B)
     site.run(6)
     assert not zones[B].lost
     assert zones[B].usable_endpoints == 10
-    assert not site.judge.awaiting_approval
+    assert not site.policy.awaiting_approval
     for lost in (
         B,
         C,
-    ):  # C goes while B waits: what takes over its calls waits for nobody
+    ):  # C is lost while B waits: B takes over its calls and needs no approval
         site.ready[lost] = 0
         site.run(5)
         site.ready[B] = 10
     site.run(10)
     assert not zones[B].lost
     assert zones[C].lost
-    assert not site.judge.awaiting_approval
+    assert not site.policy.awaiting_approval
 
 
-def test_a_node_without_the_file_imports_nothing_of_it():
+def test_node_without_the_file_imports_none_of_its_modules():
     code = (
         "import sys, loadbalancer.node.process;"
         "print([m for m in sys.modules if m.endswith(('operation', 'zones', 'storms', 'structlog'))])"
