--- a/benchmarks/evenness.py
+++ b/benchmarks/evenness.py
@@ -120,10 +120,10 @@
     print("nodes servers way         max over mean  variation  members  at most  ms")
     for nodes, servers in SHAPES:
         roster = EndpointList(False, frozenset())
-        roster.begin()
+        roster.start_full_list()
         for entry in listed(servers):
             roster.put(entry)
-        roster.end()
+        roster.finish_full_list()
         for way, (wide, weighted) in WAYS.items():
             rows = []
             for seed in range(seeds):
--- a/loadbalancer/forecast/subsets.py
+++ b/loadbalancer/forecast/subsets.py
@@ -66,12 +66,12 @@
         by_zone: Whether a node takes a slice of each zone instead of one of all endpoints.
     """
     endpoint_list = EndpointList(by_zone, frozenset())
-    endpoint_list.begin()
+    endpoint_list.start_full_list()
     for number, entry in enumerate(entries):
         endpoint_list.put(entry)
         if number % SLICE_ENTRIES == SLICE_ENTRIES - 1:
             yield
-    endpoint_list.end()
+    endpoint_list.finish_full_list()
     entry_index = {entry.endpoint: index for index, entry in enumerate(entries)}
     known: dict[tuple[int, int, int], tuple[int, ...]] = {}
     subsets = []
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -201,7 +201,7 @@
         if self.zones.policy is not None:
             self.decide_zones(now)
         self.retries.earn()
-        if self.subset.observe():
+        if self.subset.sample_in_flight():
             self.updates.refill(now)
         if settings.tier == 0:
             if not self.admission.admits(now, class_index, tenant, repeat, time_left):
--- a/loadbalancer/policy/call_tracker.py
+++ b/loadbalancer/policy/call_tracker.py
@@ -77,7 +77,7 @@
         if request is not None and (answered or outcome == Outcome.TIMEOUT):
             self.add_latency(now, endpoint, request.class_index, answered, latency)
         failed = outcome not in NO_FAILURE
-        self.outliers.count(endpoint, failed)
+        self.outliers.count_outcome(endpoint, failed)
         # Connections refused by a zone that is gone would halve the limit that others bear.
         if not endpoint.ejected and outcome not in NEVER_RAN:
             self.add_loss(now, request, answered, failed)
--- a/loadbalancer/policy/endpoint_list.py
+++ b/loadbalancer/policy/endpoint_list.py
@@ -59,7 +59,7 @@
         scopes: The deduplication scopes in which endpoints can be looked up.
         endpoints: The valid endpoints and those that still await the sweep, by number.
         ready: The number of listed endpoints by zone.
-        young: Endpoints that may be cold: those with a start time, until they are found to be warm.
+        possibly_cold: Endpoints that may be cold: those with a start time, until they are found to be warm.
         orders: The orders by zone and kind of machine.
         scope_orders: The orders by deduplication scope and the number of the zone or cell.
         generation: The number of full lists that were started; it marks the endpoints that are named since.
@@ -76,7 +76,7 @@
         self.scopes = scopes
         self.endpoints: dict[int, ListedEndpoint] = {}
         self.ready: dict[int, int] = {}
-        self.young: dict[int, ListedEndpoint] = {}
+        self.possibly_cold: dict[int, ListedEndpoint] = {}
         self.orders: dict[int, dict[int, RankedOrder[ListedEndpoint]]] = {}
         self.scope_orders: dict[
             tuple[DeduplicationScope, int], RankedOrder[ListedEndpoint]
@@ -121,7 +121,7 @@
         listed.generation = self.generation
         listed.started_at = entry.started_at
         if entry.started_at > 0:
-            self.young[entry.endpoint] = listed
+            self.possibly_cold[entry.endpoint] = listed
         return listed
 
     def add(self, entry: EndpointEntry) -> ListedEndpoint:
@@ -144,7 +144,7 @@
         self.ready[listed.zone] -= 1
         if not self.ready[listed.zone]:
             del self.ready[listed.zone]
-        self.young.pop(endpoint, None)
+        self.possibly_cold.pop(endpoint, None)
         key = shuffle(endpoint, 0)
         for order in self.orders_of(listed):
             order.remove(key)
@@ -188,13 +188,13 @@
 
     # ---- full lists ----
 
-    def begin(self) -> None:
+    def start_full_list(self) -> None:
         """Starts a full list."""
         self.generation += 1
         self.current_count = 0
         self.receiving = True
 
-    def end(self) -> bool:
+    def finish_full_list(self) -> bool:
         """Completes a full list; the endpoints that it left out become invalid.
 
         Returns:
@@ -234,10 +234,10 @@
         other.generation, other.valid_from = self.generation, self.valid_from
         other.receiving, other.unswept = self.receiving, self.unswept
         other.current_count, other.stale_count = self.current_count, self.stale_count
-        other.endpoints, other.ready, other.young = (
+        other.endpoints, other.ready, other.possibly_cold = (
             self.endpoints,
             self.ready,
-            self.young,
+            self.possibly_cold,
         )
         for endpoint, listed in self.endpoints.items():
             for order in other.orders_of(listed):
@@ -246,7 +246,7 @@
 
     # ---- look-ups ----
 
-    def warm(
+    def warm_capacity(
         self, now: int, slow_start_time: int, initial_share: float
     ) -> dict[int, float]:
         """Returns the capacity of each zone's listed endpoints, counted in warm endpoints.
@@ -262,7 +262,7 @@
             zone: float(count) for zone, count in self.ready.items()
         }
         found_warm = []
-        for endpoint, listed in self.young.items():
+        for endpoint, listed in self.possibly_cold.items():
             time_left = listed.started_at + slow_start_time - now
             if time_left <= 0:
                 found_warm.append(endpoint)
@@ -270,7 +270,7 @@
                 lacking = (1 - initial_share) * min(1.0, time_left / slow_start_time)
                 warm[listed.zone] -= lacking
         for endpoint in found_warm:
-            del self.young[endpoint]
+            del self.possibly_cold[endpoint]
         return warm
 
     def valid(self, found: list[ListedEndpoint]) -> list[ListedEndpoint]:
--- a/loadbalancer/policy/list_updates.py
+++ b/loadbalancer/policy/list_updates.py
@@ -91,13 +91,13 @@
             self.failed_polls = 0
         endpoint_list = self.subset.endpoint_list
         if kind != ListUpdateKind.CHANGES and not endpoint_list.receiving:
-            endpoint_list.begin()
+            endpoint_list.start_full_list()
         # If an endpoint is named twice, the last entry counts.
         for entry in {entry.endpoint: entry for entry in entries}.values():
             self.update_endpoint(now, entry)
         if kind == ListUpdateKind.CHANGES or more:
             return False
-        sweep_due = endpoint_list.end()
+        sweep_due = endpoint_list.finish_full_list()
         self.table.unlist_missing(endpoint_list)
         return sweep_due
 
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -54,7 +54,7 @@
 
     # ---- outcomes ----
 
-    def count(self, endpoint: Endpoint, failed: bool) -> None:
+    def count_outcome(self, endpoint: Endpoint, failed: bool) -> None:
         """Counts the end of a call in the failure rates of the endpoint and of the subset.
 
         Args:
--- a/loadbalancer/policy/subset.py
+++ b/loadbalancer/policy/subset.py
@@ -32,7 +32,7 @@
 # The members are selected again when the target size leaves this range, relative to the present size.
 SHRINK_RATIO, GROWTH_RATIO = 0.5, 1.25
 # The capacity update is delayed by one window for each of this many endpoints that may be cold.
-YOUNG_ENDPOINTS_PER_WINDOW = 1000
+COLD_CHECKS_PER_WINDOW = 1000
 
 Kinds = dict[int, RankedOrder[ListedEndpoint]]
 
@@ -137,7 +137,7 @@
 
     # ---- size ----
 
-    def observe(self) -> bool:
+    def sample_in_flight(self) -> bool:
         """Samples the calls in flight and returns whether the members need to be selected again.
 
         Without this an instance that suddenly gets a large part of the traffic would overload its few
@@ -160,9 +160,9 @@
         reported = self.reports.mean_of_members * len(self.endpoint_list)
         mean_of_instances = reported / settings.instances or inf
         multiple = max(1.0, self.mean_in_flight / mean_of_instances)
-        most = min(SUBSET_BOUND, int(SUBSET_MOST * multiple))
-        wanted = max(SUBSET_LEAST, ceil(MEMBERS_PER_CALL * self.mean_in_flight))
-        return max(settings.min_subset_size, min(most, wanted))
+        max_size = min(SUBSET_BOUND, int(SUBSET_MOST * multiple))
+        wanted_size = max(SUBSET_LEAST, ceil(MEMBERS_PER_CALL * self.mean_in_flight))
+        return max(settings.min_subset_size, min(max_size, wanted_size))
 
     def size_of(self, kinds: Kinds) -> int:
         """Returns how many of a zone's endpoints this instance uses.
@@ -262,11 +262,11 @@
         settings = self.context.settings
         total = max(1, len(self.endpoint_list))
         if now >= self.next_capacity_update:
-            young = len(self.endpoint_list.young)
+            possibly_cold = len(self.endpoint_list.possibly_cold)
             self.next_capacity_update = (
-                now + WINDOW_US + WINDOW_US * young // YOUNG_ENDPOINTS_PER_WINDOW
+                now + WINDOW_US + WINDOW_US * possibly_cold // COLD_CHECKS_PER_WINDOW
             )
-            warm = self.endpoint_list.warm(
+            warm = self.endpoint_list.warm_capacity(
                 now, settings.slow_start_time, settings.slow_start_initial_share
             )
             self.limit.rescale(sum(warm.values()))
--- a/loadbalancer/policy/zone_failover.py
+++ b/loadbalancer/policy/zone_failover.py
@@ -154,11 +154,11 @@
     # ---- state of the zones ----
 
     def update_panic(self, observation: ZoneObservation) -> None:
-        """Enters panic when so few endpoints are healthy that avoiding the others would overload them.
+        """Starts or stops the panic, in which no endpoint is avoided for being unhealthy.
 
-        Where most endpoints fail, for a shared fault or through a wrong measurement, the few that are left
-        would get all calls until they fail as well. Panic stops at a higher healthy fraction than the one
-        at which it starts.
+        Where most endpoints fail, for a shared fault or through a wrong measurement, avoiding them would
+        overload the few that are left, until those fail as well. Panic stops at a higher healthy fraction
+        than the one at which it starts.
         """
         ready = sum(observation.ready.values())
         unhealthy = sum(
@@ -173,7 +173,7 @@
     def update_zone(
         self, now: int, elapsed: int, number: int, observation: ZoneObservation
     ) -> None:
-        """Counts the warm endpoints of a zone and those of them that are usable."""
+        """Updates the size, the loss and the usable endpoints of a zone."""
         zone = self.zones[number]
         listed = observation.ready.get(number, 0)
         warm = observation.warm.get(number, 0.0)
--- a/loadbalancer/policy/zone_routing.py
+++ b/loadbalancer/policy/zone_routing.py
@@ -97,7 +97,7 @@
         unhealthy = unhealthy_members(members)
         observation = ZoneObservation(
             ready=endpoint_list.ready,
-            warm=endpoint_list.warm(
+            warm=endpoint_list.warm_capacity(
                 now, settings.slow_start_time, settings.slow_start_initial_share
             ),
             unhealthy={zone: sum(fail) / len(fail) for zone, fail in unhealthy.items()},
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -107,11 +107,11 @@
     apply_entries(endpoint_list, expected, entries_of(first))
     if full_list_parts:
         named: dict[int, EndpointEntry] = {}
-        endpoint_list.begin()
+        endpoint_list.start_full_list()
         for part in full_list_parts:
             apply_entries(endpoint_list, named, entries_of(part))
         expected = named
-        if endpoint_list.end():
+        if endpoint_list.finish_full_list():
             while endpoint_list.sweep():
                 pass
     apply_entries(endpoint_list, expected, entries_of(later))
--- a/tests/test_spread_flow.py
+++ b/tests/test_spread_flow.py
@@ -31,10 +31,10 @@
 
 def roster_of(servers: int, kinds: int = 1, zoned: bool = False) -> EndpointList:
     roster = EndpointList(zoned, frozenset())
-    roster.begin()
+    roster.start_full_list()
     for entry in listed(servers, kinds):
         roster.put(entry)
-    roster.end()
+    roster.finish_full_list()
     return roster
 
 
@@ -250,10 +250,10 @@
 
 def test_where_calls_keep_to_their_zone_each_zone_is_evened_out_by_itself() -> None:
     roster = EndpointList(True, frozenset())
-    roster.begin()
+    roster.start_full_list()
     for i, entry in enumerate(listed(30)):
         roster.put(replace(entry, zone=i % 3))
-    roster.end()
+    roster.finish_full_list()
     words_ = words(uneven(30, 4), 10, True)
     found = last(spread_weights.factors_by_server(roster, 1, words_))
     assert {roster.endpoints[s].zone for s in found} == {1}
