--- a/loadbalancer/policy/call_tracker.py
+++ b/loadbalancer/policy/call_tracker.py
@@ -92,12 +92,12 @@
         if request is not None and (answered or outcome == Outcome.TIMEOUT):
             self.add_latency(now, endpoint, request.class_index, answered, latency)
         failed = outcome not in NO_FAILURE
-        self.outliers.count(endpoint, failed)
+        self.outliers.count_outcome(endpoint, failed)
         # Connections that are refused by a failed zone would halve the limit, although other zones can take
         # the calls.
         if not endpoint.ejected and outcome not in NEVER_RAN:
             self.record_loss(now, request, answered, failed)
-        self.outliers.judge(now, endpoint, answered, failed)
+        self.outliers.evaluate(now, endpoint, answered, failed)
 
     def add_latency(
         self,
