--- a/loadbalancer/audit/ledger.py
+++ b/loadbalancer/audit/ledger.py
@@ -1,14 +1,16 @@
-"""One node's ledger: for each version, when it was announced and activated, and the attempts under it.
+"""One node's ledger: when each version was announced and activated, and the attempts made under it.
 
 A node acts on one version of each source at a time: the endpoint list, the settings, the operators' file, the
 program, the members, the term. The time between two changes is a span; an attempt belongs to the span in
-which it began, and so to one version of each source. That is one comparison and one addition for an attempt.
+which it started, and so to one version of each source. Counting an attempt costs one comparison and one
+addition.
 
-The log is bounded: after `LedgerRules.checkpoint_entries` entries a checkpoint carries the chain head, the
-sums and the open spans, and what lies before it may be dropped. Nothing is counted twice or lost by it. The
-oldest versions that are no longer in force are summed up by source.
+The log is bounded: after `LedgerRules.checkpoint_entries` entries or `LedgerRules.checkpoint_bytes` bytes, a
+checkpoint is written that contains the chain head, the totals and the spans, and all entries before it may be
+dropped. This neither loses an attempt nor counts one twice. Beyond `LedgerRules.max_versions`, the oldest
+versions that no span refers to are combined into totals by source.
 
-Pure: no I/O, no clock. `Ledger` writes, `ledger_reader.read` checks and restores.
+Pure: no I/O, no clock. `Ledger` writes, `ledger_reader.read` verifies and restores.
 """
 
 from __future__ import annotations
@@ -37,33 +39,51 @@
 from loadbalancer.audit.ledger_state import LedgerState, Span
 from loadbalancer.audit.rules import LedgerRules
 
-HEAD_DIGITS = 16  # of the chain head, for people
+HEAD_DIGITS = 16  # hexadecimal digits of the chain head that are shown to operators
 
 
 class LedgerBatch(NamedTuple):
-    """A batch to append to the log."""
+    """A batch to append to the log.
+
+    Attributes:
+        data: The encoded batch.
+        is_checkpoint: Whether all earlier batches may be removed once this one is appended.
+    """
 
     data: bytes
-    is_checkpoint: bool  # once it is appended, all before it may be cut
+    is_checkpoint: bool
 
 
 class Ledger:
-    """The node's own ledger as it is written. Times are the node's monotonic microseconds."""
+    """The writing side of a node's own ledger. Times are the node's monotonic microseconds.
+
+    Attributes:
+        rules: Limits of the memory and of the log.
+        state: What the entries so far add up to.
+        pending_bodies: Encoded entries that are not in a batch yet.
+        head_before: The chain head before the next batch.
+        entries_since_checkpoint: Number of entries since the last checkpoint.
+        bytes_since_checkpoint: Size of those entries.
+        last_span: Number of the last span; 0 if there is none.
+        span: The present span; None before the first activation of the incarnation.
+        uncovered_attempts: Number of attempts that started before any span or whose span has been dropped.
+        unsaved_attempts: Number of attempts that would be lost if the process were killed now.
+    """
 
     def __init__(
         self, rules: LedgerRules | None = None, state: LedgerState | None = None
     ) -> None:
         self.rules = rules or LedgerRules()
         self.state = state or LedgerState()
-        self.bodies: list[bytes] = []  # entries that no batch has yet
-        self.head_before = self.state.head  # of the next batch
+        self.pending_bodies: list[bytes] = []
+        self.head_before = self.state.head
         self.entries_since_checkpoint = self.bytes_since_checkpoint = 0
         self.last_span = max(self.state.spans, default=0)
-        self.span: Span | None = None  # the present one
-        self.uncovered_attempts = 0  # under no span, or after theirs was dropped
-        self.unsaved_attempts = 0  # that a kill would lose now
+        self.span: Span | None = None
+        self.uncovered_attempts = 0
+        self.unsaved_attempts = 0
 
-    # ---- what happens ---------------------------------------------------------------------------------
+    # ---- events ---------------------------------------------------------------------------------------
 
     def start_incarnation(
         self,
@@ -73,58 +93,70 @@
         note: str = "",
         min_incarnation: int = 0,
     ) -> None:
-        """An incarnation begins, numbered above all before.
+        """Starts an incarnation, whose number is higher than all before.
 
         Args:
             node: The node's name.
             now: Monotonic microseconds.
-            wall: Unix time in microseconds, for people.
-            note: For people.
-            min_incarnation: What other nodes have seen; the number is above it as well.
+            wall: Unix time in microseconds, for display only.
+            note: Free text for operators.
+            min_incarnation: The highest incarnation of this node that other nodes have seen; the new number
+                is higher than this one too.
         """
         self.span = None
         number = max(self.state.incarnation, min_incarnation) + 1
         self.write(IncarnationStarted(number, node, now, wall, note))
 
     def announce(self, key: VersionKey, by: str, now: int) -> None:
-        """Somebody has told of a version; only the first time counts."""
-        known = any(
+        """Records that a version was announced; only the first announcement in an incarnation counts.
+
+        Args:
+            key: The version.
+            by: "own", or the name of the member that reported it.
+            now: Monotonic microseconds.
+        """
+        already_announced = any(
             record.key == key
             and record.incarnation == self.state.incarnation
             and record.announced_at
             for record in self.state.records
         )
-        if not known:
+        if not already_announced:
             self.write(VersionAnnounced(key, by, now))
 
     def activate(self, key: VersionKey, now: int) -> None:
-        """A version is in force from now on; nothing happens if it already is."""
-        present = self.state.in_force.get(key.source)
-        if present is not None and present.key == key:
+        """Records that a version is in force from now on; does nothing if it already is."""
+        current = self.state.in_force.get(key.source)
+        if current is not None and current.key == key:
             return
         self.announce(key, "own", now)
-        self.write_counts()  # what was counted belongs to the spans as they stand
+        self.write_counts()  # the attempts so far belong to the spans before this one
         self.last_span += 1
         self.write(VersionActivated(key, now, self.last_span))
         self.span = self.state.spans[self.last_span]
 
-    def count_attempt(self, outcome: int, began: int) -> None:
-        """An attempt that began at `began` has ended."""
+    def count_attempt(self, outcome: int, started_at: int) -> None:
+        """Counts an attempt that has ended, in the span in which it started.
+
+        Args:
+            outcome: Its `Outcome`.
+            started_at: When it started, in monotonic microseconds.
+        """
         span = self.span
         if span is None:
             self.uncovered_attempts += 1
             return
-        if began < span.since:
-            span = self.span_at(began)
+        if started_at < span.since:
+            span = self.span_at(started_at)
         span.attempts[outcome] += 1
-        span.last_attempt_at = max(span.last_attempt_at, began)
-        if not span.first_attempt_at or began < span.first_attempt_at:
-            span.first_attempt_at = began
+        span.last_attempt_at = max(span.last_attempt_at, started_at)
+        if not span.first_attempt_at or started_at < span.first_attempt_at:
+            span.first_attempt_at = started_at
         span.dirty = True
         self.unsaved_attempts += 1
 
     def span_at(self, moment: int) -> Span:
-        """The span in which a moment lies, or the oldest that is kept."""
+        """Returns the span that contains a moment, or the oldest that is kept if none does."""
         for span in reversed(self.state.spans.values()):
             if span.since <= moment:
                 return span
@@ -134,40 +166,52 @@
     def record_action(
         self, what: str, why: str, now: int, grant: tuple[int, int] | None = None
     ) -> None:
-        """The node does something about its version, under this grant where one was given."""
+        """Records an action of the node that concerns its versions.
+
+        Args:
+            what: The kind of action.
+            why: The reason, for operators.
+            now: Monotonic microseconds.
+            grant: The fencing token (term, number) of the grant for it; None if it needed no grant.
+        """
         self.write(ActionTaken(what, why, now, grant))
 
     def end_incarnation(self, now: int) -> None:
-        """The process ends in order."""
+        """Records that the process stops normally."""
         self.write_counts()
         self.write(IncarnationEnded(now))
 
     def continue_from(self, state: LedgerState) -> Ledger:
-        """A ledger that goes on from `state`, which came only now, with all entries of this one.
+        """Returns a ledger that continues from `state` and contains all entries of this one.
 
-        Only before this one's first batch.
+        For a state that could be read only after this ledger had been started. May be called only before the
+        first batch of this ledger.
         """
         self.write_counts()
-        later = Ledger(self.rules, state)
-        shift = later.last_span
-        for body in self.bodies:
-            later.replay(ENTRY_DECODER.decode(body), shift)
-        later.last_span = self.last_span + shift
+        continued = Ledger(self.rules, state)
+        span_offset = continued.last_span
+        for body in self.pending_bodies:
+            continued.replay(ENTRY_DECODER.decode(body), span_offset)
+        continued.last_span = self.last_span + span_offset
         if self.span is not None:
-            later.span = later.state.spans.get(later.last_span)
-        later.uncovered_attempts = self.uncovered_attempts
-        later.unsaved_attempts = self.unsaved_attempts
-        return later
+            continued.span = continued.state.spans.get(continued.last_span)
+        continued.uncovered_attempts = self.uncovered_attempts
+        continued.unsaved_attempts = self.unsaved_attempts
+        return continued
 
-    def replay(self, entry: AnyEntry, shift: int) -> None:
-        """Writes another ledger's entry, its spans' numbers shifted."""
+    def replay(self, entry: AnyEntry, span_offset: int) -> None:
+        """Writes an entry of another ledger, with `span_offset` added to its span numbers."""
         match entry:
             case IncarnationStarted():
                 self.start_incarnation(entry.node, entry.at, entry.wall, entry.note)
             case VersionActivated():
-                self.write(msgspec.structs.replace(entry, span=entry.span + shift))
+                self.write(
+                    msgspec.structs.replace(entry, span=entry.span + span_offset)
+                )
             case AttemptsCounted():
-                spans = (span._replace(span=span.span + shift) for span in entry.spans)
+                spans = (
+                    span._replace(span=span.span + span_offset) for span in entry.spans
+                )
                 self.write(AttemptsCounted(tuple(spans)))
             case _:
                 self.write(entry)
@@ -175,16 +219,16 @@
     # ---- writing --------------------------------------------------------------------------------------
 
     def write(self, entry: AnyEntry) -> None:
-        """Applies an entry and chains it."""
+        """Applies an entry to the state and appends it to the chain."""
         body = encode(entry)
         self.state.apply(entry)
-        self.state.chain(body)
-        self.bodies.append(body)
+        self.state.advance_head(body)
+        self.pending_bodies.append(body)
         self.entries_since_checkpoint += 1
         self.bytes_since_checkpoint += len(body)
 
     def write_counts(self) -> None:
-        """Writes an entry for the attempts since the last."""
+        """Writes an entry for the attempts that were counted since the last such entry."""
         dirty = [span for span in self.state.spans.values() if span.dirty]
         if not dirty:
             return
@@ -202,11 +246,15 @@
             span.reset_counts()
 
     def flush(self, now: int) -> list[LedgerBatch]:
-        """The batches to append, oldest first."""
+        """Returns the batches to append to the log, oldest first, and drops expired spans.
+
+        Args:
+            now: Monotonic microseconds.
+        """
         self.write_counts()
         self.unsaved_attempts = 0
-        batches = [LedgerBatch(self.next_batch(), False)] if self.bodies else []
-        self.drop_spans(now)
+        batches = [LedgerBatch(self.next_batch(), False)] if self.pending_bodies else []
+        self.drop_expired_spans(now)
         rules = self.rules
         if (
             self.entries_since_checkpoint >= rules.checkpoint_entries
@@ -216,33 +264,36 @@
         return batches
 
     def checkpoint(self) -> bytes:
-        """A batch that stands for all before it, also for entries that no batch has yet."""
+        """Returns a batch that replaces all before it, including entries that are not in a batch yet."""
         self.write_counts()
-        if self.bodies:
+        if self.pending_bodies:
             self.next_batch()
-        self.state.fold(self.rules.max_versions)
+        self.state.fold_oldest(self.rules.max_versions)
         self.head_before = self.state.head
         body = encode(self.state.checkpoint())
-        self.state.chain(body)
-        self.bodies.append(body)
+        self.state.advance_head(body)
+        self.pending_bodies.append(body)
         self.entries_since_checkpoint = self.bytes_since_checkpoint = 0
         return self.next_batch()
 
     def next_batch(self) -> bytes:
-        """All entries that no batch has yet, as one."""
+        """Returns one batch of all entries that are not in a batch yet."""
         state = self.state
         batch = Batch(
             format_version=FORMAT_VERSION,
-            first_entry=state.entries - len(self.bodies) + 1,
+            first_entry=state.entries - len(self.pending_bodies) + 1,
             head_before=self.head_before,
-            bodies=tuple(self.bodies),
+            bodies=tuple(self.pending_bodies),
             head_after=state.head,
         )
-        self.bodies, self.head_before = [], state.head
+        self.pending_bodies, self.head_before = [], state.head
         return encode(batch)
 
-    def drop_spans(self, now: int) -> None:
-        """Forgets spans that no attempt can still belong to; the present one stays."""
+    def drop_expired_spans(self, now: int) -> None:
+        """Drops spans after their retention time, and beyond `max_spans` the oldest.
+
+        The present span, and spans with counts that are not written yet, are kept.
+        """
         spans = self.state.spans
         for number, span in list(spans.items()):
             if span is self.span or span.dirty:
@@ -251,10 +302,13 @@
             if expired or len(spans) > self.rules.max_spans:
                 del spans[number]
 
-    # ---- for people -----------------------------------------------------------------------------------
+    # ---- admin page -----------------------------------------------------------------------------------
 
     def table(self) -> dict[str, Any]:
-        """All versions, newest first. Times are monotonic: ages are left to the caller."""
+        """Returns the ledger by its published keys, with all versions, newest first.
+
+        Times are monotonic microseconds; the caller turns them into ages.
+        """
         self.write_counts()
         state = self.state
         return {
@@ -275,7 +329,7 @@
         }
 
     def table_row(self, record: VersionRecord) -> dict[str, Any]:
-        """One version for people, by the published keys."""
+        """Returns one version by its published keys."""
         in_force = self.state.in_force.values()
         return {
             **record.key._asdict(),
--- a/loadbalancer/audit/ledger_state.py
+++ b/loadbalancer/audit/ledger_state.py
@@ -1,4 +1,4 @@
-"""What a ledger's entries come to. Entries that are written and entries that are read are applied alike."""
+"""The state that a ledger's entries add up to, whether they have just been written or are read back."""
 
 from __future__ import annotations
 
@@ -25,48 +25,72 @@
     next_head,
 )
 
-MAX_ACTIONS = 16  # that are kept for people
+MAX_ACTIONS = 16  # latest actions that are kept for the admin page
 
 
 @dataclass
 class Span:
-    """A time in which no version changed, with the attempts that are not written yet."""
+    """A period in which no version changed, with its attempts that are not written yet.
+
+    Attributes:
+        number: Its number in the ledger.
+        since: When it started, in monotonic microseconds.
+        records: The versions in force, one of each source.
+        until: When it ended, in monotonic microseconds; 0 for the present span.
+        first_attempt_at: When the first attempt in `attempts` started; 0 if there is none.
+        last_attempt_at: When the last attempt in `attempts` started; 0 if there is none.
+        attempts: Attempts that are not written yet, by outcome.
+        dirty: Whether there are any such attempts.
+    """
 
     number: int
     since: int
-    records: list[VersionRecord]  # one of each source
-    until: int = 0  # 0: it is the present one
+    records: list[VersionRecord]
+    until: int = 0
     first_attempt_at: int = 0
     last_attempt_at: int = 0
     attempts: list[int] = field(default_factory=lambda: list(NO_ATTEMPTS))
     dirty: bool = False
 
     def reset_counts(self) -> None:
-        """The counts have been written."""
+        """Clears the counts once they have been written."""
         self.first_attempt_at = self.last_attempt_at = 0
         self.attempts, self.dirty = list(NO_ATTEMPTS), False
 
 
 @dataclass
 class LedgerState:
-    """The state of a ledger after its last entry."""
+    """The state of a ledger after its last entry.
+
+    Attributes:
+        node: The node's name; empty before the first incarnation.
+        incarnation: The last incarnation; 0 before the first.
+        closed: Whether the last incarnation stopped normally, or there was none.
+        entries: Number of entries so far.
+        head: The chain head.
+        records: The version records, oldest first.
+        folded: Totals of versions without a record, by source.
+        spans: The spans by number, oldest first.
+        in_force: The record of the version in force, by source.
+        actions: The latest actions, oldest first.
+    """
 
     node: str = ""
     incarnation: int = 0
-    closed: bool = True  # the last incarnation ended in order, or there was none
+    closed: bool = True
     entries: int = 0
     head: bytes = GENESIS_HEAD
     records: list[VersionRecord] = field(default_factory=list)
-    folded: dict[str, FoldedVersions] = field(default_factory=dict)  # by source
-    spans: dict[int, Span] = field(default_factory=dict)  # oldest first
-    in_force: dict[str, VersionRecord] = field(default_factory=dict)  # by source
-    actions: list[ActionTaken] = field(default_factory=list)  # the last ones
+    folded: dict[str, FoldedVersions] = field(default_factory=dict)
+    spans: dict[int, Span] = field(default_factory=dict)
+    in_force: dict[str, VersionRecord] = field(default_factory=dict)
+    actions: list[ActionTaken] = field(default_factory=list)
 
     def apply(self, entry: AnyEntry) -> None:
         """Applies one entry.
 
         Raises:
-            KeyError, IndexError, ValueError: The entry does not fit those before it.
+            KeyError, IndexError, ValueError: The entry contradicts those before it.
         """
         match entry:
             case IncarnationStarted():
@@ -85,19 +109,19 @@
                 self.restore(entry)
 
     def start_incarnation(self, entry: IncarnationStarted) -> None:
-        """Nothing is in force yet."""
+        """Starts an incarnation, in which no version is in force yet."""
         self.node, self.incarnation = entry.node, entry.incarnation
         self.closed = False
         self.spans, self.in_force = {}, {}
 
     def announce(self, entry: VersionAnnounced) -> None:
-        """Only the first announcement of a version counts."""
+        """Records the first announcement of a version; later ones are ignored."""
         record = self.record_of(entry.key)
         if not record.announced_at:
             record.announced_at, record.announced_by = entry.at, entry.by
 
     def activate(self, entry: VersionActivated) -> None:
-        """Ends the present span and begins another."""
+        """Puts a version in force: closes the present span and starts another."""
         record = self.record_of(entry.key)
         record.activations += 1
         record.activated_at = record.activated_at or entry.at
@@ -108,7 +132,7 @@
         self.spans[entry.span] = Span(entry.span, entry.at, records)
 
     def count_attempts(self, entry: AttemptsCounted) -> None:
-        """Adds attempts to each version of their span."""
+        """Adds attempts to every version of their span."""
         for counted in entry.spans:
             first = counted.first_attempt_at
             for record in self.spans[counted.span].records:
@@ -123,7 +147,7 @@
                 record.attempts = add_counts(record.attempts, counted.attempts)
 
     def restore(self, entry: Checkpoint) -> None:
-        """The checkpoint stands for all entries before it."""
+        """Restores the state from a checkpoint, which replaces all entries before it."""
         self.node, self.incarnation = entry.node, entry.incarnation
         self.closed = entry.closed
         self.records, self.folded = list(entry.records), dict(entry.folded)
@@ -136,11 +160,11 @@
         spans = list(self.spans.values())
         for earlier, later in pairwise(spans):
             earlier.until = later.since
-        present = spans[-1].records if spans else []
-        self.in_force = {record.key.source: record for record in present}
+        current_records = spans[-1].records if spans else []
+        self.in_force = {record.key.source: record for record in current_records}
 
     def record_of(self, key: VersionKey) -> VersionRecord:
-        """The present incarnation's record of a version."""
+        """Returns the present incarnation's record of a version, and creates it if there is none."""
         for record in reversed(self.records):
             if record.key == key and record.incarnation == self.incarnation:
                 return record
@@ -148,13 +172,13 @@
         self.records.append(record)
         return record
 
-    def chain(self, body: bytes) -> None:
-        """Moves the chain head past an entry."""
+    def advance_head(self, body: bytes) -> None:
+        """Advances the chain head by one entry."""
         self.head = next_head(self.head, body)
         self.entries += 1
 
     def checkpoint(self) -> Checkpoint:
-        """An entry that stands for all before it."""
+        """Returns a checkpoint of this state, which replaces all entries before it."""
         index = {id(record): i for i, record in enumerate(self.records)}
         spans = tuple(
             SpanReference(
@@ -175,8 +199,8 @@
             spans=spans,
         )
 
-    def fold(self, max_records: int) -> None:
-        """Sums up the oldest records that no span refers to, until there are few enough."""
+    def fold_oldest(self, max_records: int) -> None:
+        """Adds the oldest records that no span refers to to the totals, down to `max_records` if possible."""
         used = {id(record) for span in self.spans.values() for record in span.records}
         excess = len(self.records) - max_records
         kept = []
@@ -189,7 +213,7 @@
         self.records = kept
 
     def add_folded(self, record: VersionRecord) -> None:
-        """Adds a record to the sums of its source."""
+        """Adds a record to the totals of its source."""
         source = record.key.source
         versions, attempts = self.folded.get(source, FoldedVersions(0, NO_ATTEMPTS))
         self.folded[source] = FoldedVersions(
@@ -197,7 +221,7 @@
         )
 
     def attempts(self, source: str = "list") -> OutcomeCounts:
-        """All attempts under versions of a source, by outcome, over all incarnations."""
+        """Returns all attempts under the versions of a source, by outcome, over all incarnations."""
         total = self.folded.get(source, FoldedVersions(0, NO_ATTEMPTS)).attempts
         for record in self.records:
             if record.key.source == source:
