--- a/loadbalancer/audit/__init__.py
+++ b/loadbalancer/audit/__init__.py
@@ -1,7 +1,10 @@
-"""Which node acted on which version, who is behind, and what a node does about itself.
+"""The audit: records which node acted on which version, detects outdated nodes and lets them catch up.
 
-`ledger` keeps the versions and attempts of one node, `status` is what nodes tell each other of them,
-`fleet_observer` judges from that who is outdated, `remediator` decides what an outdated node does about it
-and when it may be quarantined, `endpoint_transfer` moves endpoint lists between peers. Everything here is
-pure: no I/O, no clock. `node/features/audit.py` hosts it.
+* `ledger` records the versions of one node and the attempts under each of them.
+* `status` is the record by which nodes report their versions to each other.
+* `fleet_observer` determines from these records which members are outdated.
+* `remediator` decides how an outdated node catches up and when it may be quarantined.
+* `endpoint_transfer` transfers endpoint lists between peers.
+
+Everything here is pure: no I/O, no clock. `node/features/audit.py` hosts it.
 """
--- a/loadbalancer/audit/catch_up.py
+++ b/loadbalancer/audit/catch_up.py
@@ -1,7 +1,8 @@
-"""How an outdated node gets the current list: the own discovery, other agents, then peers.
+"""How an outdated node obtains the current list: from its own discovery, other agents, then peers.
 
-A step begins when the one before has had its time, with a jitter of its own; between rounds of all steps the
-backoff grows. The node decides all of it itself; a hint from another node only hastens the first step.
+A step starts once the one before has timed out. Each round of all steps starts after a random jitter, and the
+backoff between rounds grows. The node decides on its own; a hint from another node only brings the first step
+forward.
 """
 
 from __future__ import annotations
@@ -15,55 +16,75 @@
 from loadbalancer.audit.rules import RemediationRules
 from loadbalancer.audit.status import VersionId
 
-BACKOFF_US = 1_000_000  # of the first round
+BASE_BACKOFF_US = 1_000_000  # doubled for each completed round
 MAX_BACKOFF_DOUBLINGS = 10
 
 
 class CatchUpStep(IntEnum):
-    """The step of catching up; the values are in the status record."""
+    """The steps of catching up, in order. The values are sent in the status record."""
 
     DISCOVERY = 0
     WAIT_FOR_DISCOVERY = 1
     AGENTS = 2
     PEERS = 3
-    FAILED = 4  # all steps were tried `max_rounds` times
+    FAILED = 4  # all steps have been tried `max_rounds` times
 
 
 @dataclass
-class Attempt:
-    """Catching up to one target. Times are monotonic microseconds."""
+class CatchUpAttempt:
+    """The progress of catching up to one target. Times are monotonic microseconds.
+
+    Attributes:
+        target: The version to obtain.
+        behind_since: Since when the node has been behind it.
+        step: The present step.
+        next_action_at: When the next action of that step is due.
+        round_number: Number of completed rounds of all steps.
+        requests_sent: Number of requests to agents or peers in the present step.
+        queried_peers: Peers that have been asked in this round.
+    """
 
     target: VersionId
     behind_since: int
     step: CatchUpStep = CatchUpStep.DISCOVERY
     next_action_at: int = 0
     round_number: int = 0
-    requests_sent: int = 0  # to agents or peers, in this round
+    requests_sent: int = 0
     queried_peers: set[str] = field(default_factory=set)
 
 
 class CatchUp:
-    """One node's way back to the frontier. `update` is called after each observation."""
+    """Brings one node back to the frontier. `update` is called after each observation.
+
+    Attributes:
+        name: This node's name among the members.
+        rules: Times and limits; may be replaced at any time.
+        random: Source of the jitter and of the choice of peers.
+        attempt: The attempt in progress; None if the node is not behind.
+        discovery_deadline: Until when the node waits for its own discovery, in monotonic microseconds.
+        discovery_outdated: Whether peers or agents had a target that the node's own discovery did not have.
+        last_discovery_version: The last version from the node's own discovery.
+    """
 
     def __init__(self, name: str, rules: RemediationRules, random: Random) -> None:
         self.name = name
         self.rules = rules
         self.random = random
-        self.attempt: Attempt | None = None
-        self.discovery_deadline = 0  # until then the own discovery is waited for
-        self.discovery_outdated = False  # others had the target, the discovery has not
+        self.attempt: CatchUpAttempt | None = None
+        self.discovery_deadline = 0
+        self.discovery_outdated = False
         self.last_discovery_version: VersionId | None = None
 
     @property
     def step(self) -> CatchUpStep:
-        """For the status: a request for quarantine counts only after `FAILED`."""
+        """The step to report in the status: quarantine may be requested only after `FAILED`."""
         if self.attempt is None:
             return CatchUpStep.DISCOVERY
         return CatchUpStep.FAILED if self.failed else self.attempt.step
 
     @property
     def failed(self) -> bool:
-        """Whether all steps were tried often enough."""
+        """Whether all steps have been tried `max_rounds` times."""
         return (
             self.attempt is not None
             and self.attempt.round_number >= self.rules.max_rounds
@@ -72,7 +93,13 @@
     def update(
         self, now: int, health: MemberHealth, local: LocalState
     ) -> list[Remediation]:
-        """The actions that are due, given this node's own health."""
+        """Returns the actions that are due.
+
+        Args:
+            now: Monotonic microseconds.
+            health: This node's own health in the latest observation.
+            local: What the host knows of this node.
+        """
         if local.list_version != self.last_discovery_version:
             self.last_discovery_version = local.list_version
             self.discovery_outdated = False
@@ -85,7 +112,7 @@
         return self.advance(attempt, now, health.reason, target, local)
 
     def finish(self, local: LocalState) -> None:
-        """The node is not behind: whatever was tried is over."""
+        """Ends the attempt in progress: the node is not behind any more."""
         attempt = self.attempt
         if (
             attempt is not None
@@ -95,11 +122,11 @@
             self.discovery_outdated = True
         self.attempt = None
 
-    def attempt_for(self, target: Frontier, health: MemberHealth) -> Attempt:
-        """The attempt at this target; another number or origin begins a new one."""
+    def attempt_for(self, target: Frontier, health: MemberHealth) -> CatchUpAttempt:
+        """Returns the attempt for this target; another number or origin starts a new one."""
         attempt = self.attempt
         if attempt is None or attempt.target[:2] != (target.origin, target.number):
-            attempt = self.attempt = Attempt(target.version, health.behind_since)
+            attempt = self.attempt = CatchUpAttempt(target.version, health.behind_since)
             attempt.next_action_at = (
                 health.behind_since + self.rules.poll_after_us + self.jitter()
             )
@@ -108,13 +135,13 @@
 
     def advance(
         self,
-        attempt: Attempt,
+        attempt: CatchUpAttempt,
         now: int,
         reason: str,
         target: Frontier,
         local: LocalState,
     ) -> list[Remediation]:
-        """Goes through the steps that are due, in their order; several may be due at once."""
+        """Performs the steps that are due, in order; several may be due at once."""
         actions: list[Remediation] = []
         if local.hinted and attempt.step == CatchUpStep.DISCOVERY:
             attempt.next_action_at = min(attempt.next_action_at, now)
@@ -133,9 +160,9 @@
         return actions
 
     def request_from_agent(
-        self, attempt: Attempt, now: int, reason: str
+        self, attempt: CatchUpAttempt, now: int, reason: str
     ) -> list[Remediation]:
-        """Requests the list from the next agent that operators name; after the last, peers are next."""
+        """Requests the list from the next configured agent; after the last one, turns to the peers."""
         index = attempt.requests_sent
         if index >= self.rules.agents:
             attempt.step, attempt.requests_sent = CatchUpStep.PEERS, 0
@@ -152,10 +179,10 @@
         ]
 
     def request_from_peer(
-        self, attempt: Attempt, now: int, reason: str, target: Frontier
+        self, attempt: CatchUpAttempt, now: int, reason: str, target: Frontier
     ) -> list[Remediation]:
-        """Requests the list from a peer that holds it; after the last, a new round begins with a backoff."""
-        peer = self.draw_peer(attempt, target)
+        """Requests the list from a peer that holds it; after the last one, schedules a new round."""
+        peer = self.choose_peer(attempt, target)
         if peer and attempt.requests_sent < self.rules.peers:
             attempt.queried_peers.add(peer)
             attempt.requests_sent += 1
@@ -165,31 +192,34 @@
         attempt.round_number += 1
         attempt.step, attempt.queried_peers = CatchUpStep.DISCOVERY, set()
         doublings = min(attempt.round_number, MAX_BACKOFF_DOUBLINGS)
-        backoff = min(self.rules.max_backoff_us, BACKOFF_US << doublings)
+        backoff = min(self.rules.max_backoff_us, BASE_BACKOFF_US << doublings)
         attempt.next_action_at = now + backoff + self.jitter()
         return []
 
-    def deadline(self, attempt: Attempt, local: LocalState) -> int:
-        """Until when (microseconds) the own discovery is waited for."""
+    def deadline(self, attempt: CatchUpAttempt, local: LocalState) -> int:
+        """Returns the time (monotonic microseconds) until which the own discovery is waited for."""
         rules = self.rules
         if self.discovery_outdated:
             return attempt.behind_since + rules.poll_after_us
-        lagging = attempt.behind_since + rules.lag_us
+        lag_deadline = attempt.behind_since + rules.lag_us
         if local.discovery_answered_at >= attempt.behind_since:
-            return lagging  # it answers, and not with what the others hold
-        return max(lagging, local.discovery_answered_at + rules.silence_us)
+            return lag_deadline  # it answers, but with an older version than the other members hold
+        return max(lag_deadline, local.discovery_answered_at + rules.silence_us)
+
+    def choose_peer(self, attempt: CatchUpAttempt, target: Frontier) -> str:
+        """Returns a random peer that holds the target and has not been asked in this round.
 
-    def draw_peer(self, attempt: Attempt, target: Frontier) -> str:
-        """A peer that holds the content; empty if none is left, or no quorum holds one content."""
+        Empty if there is none, or if no quorum holds the same content.
+        """
         if not target.digest:
             return ""
-        left = [
+        remaining = [
             name
             for name in target.holders
             if name != self.name and name not in attempt.queried_peers
         ]
-        return self.random.choice(left) if left else ""
+        return self.random.choice(remaining) if remaining else ""
 
     def jitter(self) -> int:
-        """Drawn microseconds, so that nodes do not all ask at once."""
+        """Returns random microseconds, so that nodes do not all send requests at the same time."""
         return int(self.random.random() * self.rules.jitter_us)
--- a/loadbalancer/audit/comparison.py
+++ b/loadbalancer/audit/comparison.py
@@ -1,4 +1,4 @@
-"""Which version a member acts on, and how it compares to content that is held elsewhere."""
+"""Determines the version that a member acts on, and compares its content with the majority's."""
 
 from __future__ import annotations
 
@@ -7,36 +7,52 @@
 from loadbalancer.audit.fleet_view import Frontier, HealthState
 from loadbalancer.audit.status import StatusRecord
 
-NO_LIST = -1  # the number of a member that holds no list
+NO_LIST = -1  # version number of a member that holds no list
 
 
 @dataclass(frozen=True)
 class Comparison:
-    """A member against its target, without hysteresis."""
+    """The result of comparing a member with its target.
+
+    Attributes:
+        state: The member's state.
+        reason: Why it has that state, for operators.
+        behind_since: When the frontier passed the member, or since when its content has differed
+            (monotonic microseconds); 0 if neither applies.
+    """
 
     state: HealthState
     reason: str
-    behind_since: int = 0  # when the frontier passed it; of other content, since when
+    behind_since: int = 0
 
 
 @dataclass(frozen=True)
 class EffectiveVersion:
-    """The version that a member holds by its discovery or by its peers."""
+    """The version that a member holds, from its own discovery or from its peers.
+
+    Attributes:
+        number: The version number; `NO_LIST` if it holds no list.
+        digest: Digest of the content; empty if it holds no list.
+        source: Suffix for the reason text if the version comes from peers, else empty.
+    """
 
-    number: int  # `NO_LIST`: none
+    number: int
     digest: str
-    source: str  # for the reason
+    source: str
 
 
 def effective_version(status: StatusRecord, target: Frontier) -> EffectiveVersion:
-    """What a member holds: by its own discovery, or by its peers if that is newer."""
+    """Returns the version that a member holds: its own discovery's, or its peers' if that is newer.
+
+    The adopted version also counts if it is the target itself, under the same number.
+    """
     discovered, adopted = status.list_version, status.adopted
     number = discovered.number if discovered is not None else NO_LIST
     if adopted is not None and adopted.origin == target.origin:
         is_target = adopted == target.version and number <= target.number
         if adopted.number > number or is_target:
             return EffectiveVersion(
-                adopted.number, adopted.digest, ", by its peers' word"
+                adopted.number, adopted.digest, ", received from peers"
             )
     return EffectiveVersion(
         number, discovered.digest if discovered is not None else "", ""
@@ -44,10 +60,10 @@
 
 
 def compare_content(status: StatusRecord, reference: Frontier | None) -> Comparison:
-    """Compares a member whose origin has no frontier with the content of the majority's."""
+    """Compares a member whose origin has no frontier with the content that the majority holds."""
     discovered, adopted = status.list_version, status.adopted
     if discovered is None:
-        reason = "it holds no list, and no quorum holds one"
+        reason = "holds no list, and no quorum holds one"
         return Comparison(HealthState.UNKNOWN, reason)
     if reference is not None and discovered.digest == reference.digest:
         reason = f"holds the content that the quorum holds from {reference.origin}"
@@ -57,7 +73,7 @@
         and adopted is not None
         and adopted.digest == reference.digest
     ):
-        reason = "holds the quorum's content by its peers' word"
+        reason = "holds the quorum's content, received from peers"
         return Comparison(HealthState.CURRENT, reason)
-    reason = f"too few members use {discovered.origin} to compare with"
+    reason = f"too few members use origin {discovered.origin} for a comparison"
     return Comparison(HealthState.UNKNOWN, reason)
--- a/loadbalancer/audit/endpoint_transfer.py
+++ b/loadbalancer/audit/endpoint_transfer.py
@@ -1,8 +1,8 @@
-"""How an outdated node gets a list's endpoints from peers, in parts that fit a datagram.
+"""Transfers the endpoints of a list from peers to an outdated node, in parts that fit into a datagram.
 
-Both sides sort the endpoints by name and split them alike, so the parts of one version may come from several
-peers. What has been received is checked against the digest that a quorum holds before any of it is used. A
-part that is lost is requested again; the sender keeps no state. Pure: no I/O, no clock.
+All nodes sort the endpoints by name and split them in the same way, so the parts of one version may come from
+several peers. The received list is checked against the digest that a quorum holds before any of it is used. A
+lost part is requested again; the sender keeps no state. Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 
 from loadbalancer.audit.status import VersionId
 
-WINDOW_PARTS = 16  # requested at a time
+WINDOW_PARTS = 16  # parts that are requested at a time
 MAX_ENDPOINTS = 5_000  # a longer list is not sent to peers
-OVERHEAD_BYTES = 200  # of a datagram for what is not an endpoint
+# Bytes of a datagram that are reserved for everything but the endpoints.
+OVERHEAD_BYTES = 200
 
 
 class EndpointRow(NamedTuple):
-    """One endpoint as discovery told it. The order of the fields is that of the wire."""
+    """One endpoint as discovery reported it. The fields are encoded as an array, in this order."""
 
     id: str
     host: str
@@ -34,23 +35,23 @@
 
 
 class TransferMessage(msgspec.Struct, array_like=True, tag_field="t"):
-    """Base of what the audits of two nodes send to each other."""
+    """Base of the messages between the audits of two nodes; `target` is the version they refer to."""
 
     target: VersionId
 
 
 class OutdatedHint(TransferMessage, tag="hint"):
-    """The receiver is behind this version."""
+    """Notifies the receiver that it is behind the target."""
 
 
 class PartRequest(TransferMessage, tag="ask"):
-    """Asks for these parts of a version."""
+    """Requests parts of the target by their indexes."""
 
     parts: tuple[int, ...] = ()
 
 
 class EndpointPart(TransferMessage, tag="part"):
-    """One part of a version."""
+    """One part of the target: `index` of `part_count`, from 0."""
 
     index: int = 0
     part_count: int = 1
@@ -65,7 +66,7 @@
 
 
 def decode(data: bytes) -> AnyTransferMessage | None:
-    """Decodes a message; None if it cannot be read."""
+    """Decodes a message; returns None if it cannot be read."""
     try:
         return DECODER.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -75,7 +76,14 @@
 def split_rows(
     rows: Iterable[EndpointRow], max_datagram_bytes: int
 ) -> list[tuple[EndpointRow, ...]]:
-    """Parts that fit a datagram, in an order that all nodes share. None are empty."""
+    """Splits rows into parts that fit into a datagram, in an order that is the same on all nodes.
+
+    No part is empty. A row that exceeds the limit on its own becomes a part of its own.
+
+    Args:
+        rows: The endpoints, in any order.
+        max_datagram_bytes: Largest size of a datagram in bytes.
+    """
     max_part_bytes = max_datagram_bytes - OVERHEAD_BYTES
     parts: list[tuple[EndpointRow, ...]] = []
     part: list[EndpointRow] = []
@@ -93,18 +101,26 @@
 
 
 class PartCollector:
-    """Collects the parts of one version, from one peer or several."""
+    """Collects the parts of one version, from one peer or several.
+
+    Attributes:
+        target: The version.
+        part_count: The number of its parts; 0 until a part has been received.
+        parts: The received parts by index.
+    """
 
     def __init__(self, target: VersionId) -> None:
         self.target = target
-        self.part_count = 0  # known once a part has come
+        self.part_count = 0
         self.parts: dict[int, tuple[EndpointRow, ...]] = {}
 
     def add(self, part: EndpointPart) -> bool:
-        """Adds a part. A part of another split begins the collection anew.
+        """Adds a part. A part with another `part_count` restarts the collection.
+
+        A part of another version, or with an index or count out of range, is ignored.
 
         Returns:
-            Whether all parts are there.
+            Whether all parts have been received.
         """
         valid = 0 <= part.index < part.part_count <= MAX_ENDPOINTS
         if part.target != self.target or not valid:
@@ -115,12 +131,12 @@
         return len(self.parts) == self.part_count
 
     def missing(self) -> tuple[int, ...]:
-        """The parts to request next."""
+        """Returns the indexes of the parts to request next, at most `WINDOW_PARTS`."""
         if not self.part_count:
             return tuple(range(WINDOW_PARTS))
         missing = (i for i in range(self.part_count) if i not in self.parts)
         return tuple(missing)[:WINDOW_PARTS]
 
     def rows(self) -> list[EndpointRow]:
-        """All rows so far, in the order of the parts."""
+        """Returns all rows received so far, in the order of the parts."""
         return [row for index in sorted(self.parts) for row in self.parts[index]]
--- a/loadbalancer/audit/fleet_observer.py
+++ b/loadbalancer/audit/fleet_observer.py
@@ -1,12 +1,13 @@
-"""Judges, at one node, what a quorum of the live members holds and how each member compares to it.
+"""Determines which version a quorum of the live members holds, and how each member compares to it.
 
-Each node judges for itself, from the members' statuses and the moments at which it received them by its own
-monotonic clock; nobody else's clock is read. Numbers are compared within one origin only (a discovery's
-numbering); members of two origins are compared by the digest of what they hold.
+Each node evaluates the fleet independently, from the members' statuses and the times at which it received
+them by its own monotonic clock; it never reads another node's clock. Version numbers are compared only within
+one origin (the numbering of one discovery); members of different origins are compared by the digests of
+their lists.
 
-The quorum is a majority of the live members that are not quarantined; of an origin that only a part of them
-uses, a majority of that part. Members without a status count in full. In a partition each side judges its
-own members and says which side it is: `minority` where not more than half of the known members are alive.
+The quorum is a majority of the live members that are not quarantined; for an origin that only some of them
+use, it is a majority of those. Members without a status count as voters. In a partition each side evaluates
+its own members and reports which side it is: `minority` if at most half of the known members are alive.
 
 Pure: no I/O, no clock, no randomness.
 """
@@ -39,44 +40,69 @@
 from loadbalancer.audit.rules import FleetRules
 from loadbalancer.audit.status import QuarantineState, StatusRecord
 
-MAX_RELAPSES = 16
+MAX_RELAPSES = 16  # bounds the exponent of the dwell time
 US_PER_S = 1e6
 
 
 @dataclass
 class MemberHistory:
-    """What is remembered of one member. Times are this node's microseconds; 0: not so."""
+    """What this node remembers of one member.
+
+    Times are this node's monotonic microseconds; 0 in a `..._since` field means that the condition does not
+    hold.
+
+    Attributes:
+        last_alive: When the member was last observed alive.
+        joined_at: When it was first observed alive after its last absence.
+        state: Its health at the last observation.
+        since: When that state began.
+        reason: Why it has that state.
+        differs_since: Since when its content has differed under the frontier's number.
+        unconfirmed_since: Since when it has reported a version that no other member holds.
+        current_since: Since when it has held the frontier.
+        relapses: Consecutive relapses that each followed a recovery within `FleetRules.relapse_window_us`.
+        recovered_at: When it last became current again; 0 if it never did.
+        no_status_since: Since when its status has been missing or stale.
+    """
 
     last_alive: int
-    joined_at: int  # first alive, since it was last not
+    joined_at: int
     state: HealthState = HealthState.UNKNOWN
     since: int = 0
     reason: str = ""
-    differs_since: int = 0  # it holds other content
-    unconfirmed_since: int = 0  # it reports a version that nobody else holds
-    current_since: int = 0  # it holds the frontier
+    differs_since: int = 0
+    unconfirmed_since: int = 0
+    current_since: int = 0
     relapses: int = 0
-    recovered_at: int = 0  # when it last became current again
+    recovered_at: int = 0
     no_status_since: int = 0
 
     def restart_timers(self) -> None:
-        """Forgets what ran while this node stood still: newer statuses wait to be read."""
+        """Resets timers that ran while this node was suspended: newer statuses may await processing."""
         self.differs_since = self.unconfirmed_since = 0
         self.no_status_since = self.current_since = 0
 
 
 @dataclass(frozen=True)
-class Round:
-    """What one observation compares all members with."""
+class ObservationContext:
+    """The data of one observation that every member is compared with.
+
+    Attributes:
+        now: Time of the observation in monotonic microseconds.
+        statuses: Fresh statuses by member.
+        frontiers: Frontiers by origin.
+        reference: The frontier of the origin that a majority uses; None if there is none.
+        reports: Number of members that report each version number.
+    """
 
     now: int
-    statuses: Mapping[str, StatusRecord]  # the fresh ones
+    statuses: Mapping[str, StatusRecord]
     frontiers: Mapping[str, Frontier]
     reference: Frontier | None
-    reports: Counter[VersionNumber]  # how many members report each number
+    reports: Counter[VersionNumber]
 
     def target_of(self, status: StatusRecord) -> Frontier | None:
-        """What a member should hold."""
+        """Returns the frontier that a member with this status should hold; None if its origin has none."""
         version = status.list_version
         if version is None:
             return self.reference
@@ -84,7 +110,16 @@
 
 
 class FleetObserver:
-    """One node's observations of the fleet. `observe` is called a few times a second."""
+    """Evaluates the fleet from one node's point of view. `observe` is called a few times a second.
+
+    Attributes:
+        name: This node's name among the members.
+        rules: Times and limits; may be replaced at any time.
+        members: What is remembered of each known member, by name.
+        frontier_histories: How the frontier of each origin has moved.
+        last_observed: Time of the last observation in monotonic microseconds; 0 before the first.
+        resumed_at: When observations started, or resumed after the last gap, in monotonic microseconds.
+    """
 
     def __init__(self, name: str, rules: FleetRules | None = None) -> None:
         self.name = name
@@ -92,17 +127,20 @@
         self.members: dict[str, MemberHistory] = {}
         self.frontier_histories: dict[str, FrontierHistory] = {}
         self.last_observed = 0
-        self.resumed_at = 0  # the start, or the end of the last gap
+        self.resumed_at = 0
 
     def observe(
         self, now: int, live: Sequence[str], statuses: Mapping[str, ReceivedStatus]
     ) -> FleetView:
-        """Judges all live members.
+        """Evaluates the health of all live members.
 
         Args:
             now: Monotonic microseconds.
-            live: The live members; this node may be left out.
-            statuses: The members' statuses, with this node's own.
+            live: Names of the live members; this node's own name may be missing.
+            statuses: The received statuses by member, including this node's own.
+
+        Returns:
+            The view of the fleet at this moment.
         """
         self.detect_gap(now)
         names = tuple(sorted({*live, self.name}))
@@ -117,8 +155,10 @@
         frontiers = find_frontiers(voters, fresh, quorum)
         self.record_frontiers(now, frontiers, fresh)
         reference = reference_of(frontiers, quorum, len(voters))
-        judged = Round(now, fresh, frontiers, reference, count_reports(fresh))
-        health = {name: self.judge_member(name, judged) for name in names}
+        context = ObservationContext(
+            now, fresh, frontiers, reference, count_reports(fresh)
+        )
+        health = {name: self.evaluate_member(name, context) for name in names}
         return FleetView(
             observed_at=now,
             live=names,
@@ -132,10 +172,10 @@
             statuses={name: statuses[name] for name in names if name in statuses},
         )
 
-    # ---- what is remembered ---------------------------------------------------------------------------
+    # ---- member and frontier history ------------------------------------------------------------------
 
     def detect_gap(self, now: int) -> None:
-        """Begins to settle anew at the first observation, and after a gap between two."""
+        """Restarts the settling time at the first observation and after a gap between two."""
         if not self.last_observed or now - self.last_observed > self.rules.max_step_us:
             self.resumed_at = now
             for member in self.members.values():
@@ -143,15 +183,15 @@
         self.last_observed = now
 
     def update_members(self, now: int, names: Sequence[str]) -> None:
-        """Updates who is alive, and forgets who has not been for `forget_us`."""
+        """Updates the live members and forgets those that were last alive more than `forget_us` ago."""
         rules = self.rules
         for name in names:
             member = self.members.get(name)
             if member is None or now - member.last_alive > rules.forget_us:
                 self.members[name] = MemberHistory(now, now, since=now)
                 continue
-            away = now - member.last_alive > rules.max_step_us
-            if away and self.resumed_at != now:
+            was_absent = now - member.last_alive > rules.max_step_us
+            if was_absent and self.resumed_at != now:
                 member.joined_at = now
             member.last_alive = now
         self.members = {
@@ -166,7 +206,7 @@
         frontiers: Mapping[str, Frontier],
         fresh: Mapping[str, StatusRecord],
     ) -> None:
-        """Records the frontiers' moves; origins that nobody uses any more are forgotten."""
+        """Records changes of the frontiers and forgets origins that no member uses any more."""
         for origin, frontier in frontiers.items():
             history = self.frontier_histories.setdefault(origin, FrontierHistory())
             history.record(now, frontier.number)
@@ -179,49 +219,51 @@
             if origin not in frontiers and origin not in used:
                 del self.frontier_histories[origin]
 
-    # ---- one member -----------------------------------------------------------------------------------
+    # ---- health of one member -------------------------------------------------------------------------
 
-    def judge_member(self, name: str, judged: Round) -> MemberHealth:
-        """A member's health, with the time that each state needs to begin and to end."""
-        member, status = self.members[name], judged.statuses.get(name)
+    def evaluate_member(self, name: str, context: ObservationContext) -> MemberHealth:
+        """Compares a member with its target and returns its health, with hysteresis."""
+        member, status = self.members[name], context.statuses.get(name)
         if status is None:
-            return self.without_status(member, judged.now)
+            return self.evaluate_without_status(member, context.now)
         member.no_status_since = 0
-        now, target = judged.now, judged.target_of(status)
-        found = self.compare(member, status, judged)
-        state = found.state
+        now, target = context.now, context.target_of(status)
+        comparison = self.compare(member, status, context)
+        state = comparison.state
         if state == HealthState.CURRENT:
             member.current_since = member.current_since or now
             dwell_us = self.dwell_left(member, now)
             if dwell_us:
-                reason = (
-                    f"{found.reason} again, for less than {dwell_us / US_PER_S:g} s"
-                )
+                reason = f"{comparison.reason} again, for less than {dwell_us / US_PER_S:g} s"
                 unchanged = Comparison(member.state, reason)
-                return conclude(member, now, unchanged, member.since, target)
+                return record_health(member, now, unchanged, member.since, target)
         else:
             member.current_since = 0
             self.count_relapse(member, now, state)
             if state == HealthState.LAGGING and member.state in OUTDATED_STATES:
-                state = HealthState.STRAGGLER  # it was not current in between
-        settled = Comparison(state, found.reason, found.behind_since)
-        return conclude(member, now, settled, found.behind_since or now, target)
+                state = HealthState.STRAGGLER  # it has not been current since
+        result = Comparison(state, comparison.reason, comparison.behind_since)
+        return record_health(
+            member, now, result, comparison.behind_since or now, target
+        )
 
-    def without_status(self, member: MemberHistory, now: int) -> MemberHealth:
-        """Keeps the last state until the status has been missing for `silence_us`."""
+    def evaluate_without_status(self, member: MemberHistory, now: int) -> MemberHealth:
+        """Keeps a member's last state until its status has been missing for `silence_us`."""
         member.no_status_since = member.no_status_since or now
         member.current_since = 0
         if now - member.no_status_since >= self.rules.silence_us:
             silent = Comparison(
-                HealthState.SILENT, "alive, but its record is missing or stale"
+                HealthState.SILENT, "alive, but its status record is missing or stale"
             )
-            return conclude(member, now, silent, member.no_status_since)
+            return record_health(member, now, silent, member.no_status_since)
         unknown = member.state == HealthState.UNKNOWN
-        reason = "no record of it yet" if unknown else member.reason
-        return conclude(member, now, Comparison(member.state, reason), member.since)
+        reason = "no status record received yet" if unknown else member.reason
+        return record_health(
+            member, now, Comparison(member.state, reason), member.since
+        )
 
     def dwell_left(self, member: MemberHistory, now: int) -> int:
-        """The dwell time (microseconds) of a member that is not over yet; 0: it has recovered."""
+        """Returns the dwell time in microseconds if the member has yet to complete it, else 0."""
         if member.state not in OUTDATED_STATES | {HealthState.SILENT}:
             return 0
         factor = min(self.rules.max_dwell_factor, 1 << member.relapses)
@@ -234,7 +276,7 @@
     def count_relapse(
         self, member: MemberHistory, now: int, state: HealthState
     ) -> None:
-        """Counts relapses that follow shortly on a recovery."""
+        """Counts a relapse within `relapse_window_us` of a recovery; any other resets the count."""
         if state in OUTDATED_STATES and member.state not in OUTDATED_STATES:
             recent = (
                 member.recovered_at
@@ -243,18 +285,18 @@
             member.relapses = min(member.relapses + 1, MAX_RELAPSES) if recent else 0
 
     def compare(
-        self, member: MemberHistory, status: StatusRecord, judged: Round
+        self, member: MemberHistory, status: StatusRecord, context: ObservationContext
     ) -> Comparison:
-        """A member's state without hysteresis."""
-        target = judged.target_of(status)
+        """Compares a member with its target, without hysteresis."""
+        target = context.target_of(status)
         if target is None:
-            return compare_content(status, judged.reference)
+            return compare_content(status, context.reference)
         version = effective_version(status, target)
         if version.number < target.number:
-            return self.compare_behind(member, version, target, judged.now)
+            return self.compare_behind(member, version, target, context.now)
         if version.number > target.number:
-            return self.compare_ahead(member, version, target, judged)
-        return self.compare_same_number(member, version, target, judged.now)
+            return self.compare_ahead(member, version, target, context)
+        return self.compare_same_number(member, version, target, context.now)
 
     def compare_behind(
         self,
@@ -263,14 +305,14 @@
         target: Frontier,
         now: int,
     ) -> Comparison:
-        """The member holds an older number than the frontier."""
+        """Compares a member that holds an older number than the frontier."""
         member.differs_since = member.unconfirmed_since = 0
         passed_at = self.frontier_histories[target.origin].passed_at(version.number)
         behind_since = max(passed_at or now, member.joined_at)
-        late = now - max(behind_since, self.resumed_at) >= self.rules.lag_us
-        state = HealthState.STRAGGLER if late else HealthState.LAGGING
-        has = f"version {version.number}" if version.number >= 0 else "no list"
-        reason = f"holds {has}, a quorum holds {target.number}"
+        overdue = now - max(behind_since, self.resumed_at) >= self.rules.lag_us
+        state = HealthState.STRAGGLER if overdue else HealthState.LAGGING
+        held = f"version {version.number}" if version.number >= 0 else "no list"
+        reason = f"holds {held}, a quorum holds version {target.number}"
         return Comparison(state, reason, behind_since)
 
     def compare_ahead(
@@ -278,17 +320,17 @@
         member: MemberHistory,
         version: EffectiveVersion,
         target: Frontier,
-        judged: Round,
+        context: ObservationContext,
     ) -> Comparison:
-        """The member holds a newer number; nobody else may ever report it."""
+        """Compares a member that holds a newer number, which no other member may ever report."""
         member.differs_since = 0
         number = version.number
-        if judged.reports[VersionNumber(target.origin, number)] > 1:
+        if context.reports[VersionNumber(target.origin, number)] > 1:
             member.unconfirmed_since = 0
         else:
-            member.unconfirmed_since = member.unconfirmed_since or judged.now
-            if judged.now - member.unconfirmed_since >= self.rules.unconfirmed_us:
-                reason = f"claims version {number}, which nobody else holds"
+            member.unconfirmed_since = member.unconfirmed_since or context.now
+            if context.now - member.unconfirmed_since >= self.rules.unconfirmed_us:
+                reason = f"reports version {number}, which no other member holds"
                 return Comparison(HealthState.UNKNOWN, reason)
         reason = f"ahead of the frontier with version {number}"
         return Comparison(HealthState.CURRENT, reason)
@@ -300,49 +342,57 @@
         target: Frontier,
         now: int,
     ) -> Comparison:
-        """The member holds the frontier's number; its content may differ."""
+        """Compares a member that holds the frontier's number, possibly with other content."""
         member.unconfirmed_since = 0
         number = version.number
         if target.digest and version.digest != target.digest:
             member.differs_since = since = member.differs_since or now
             if now - since >= self.rules.confirm_divergence_us:
                 reason = (
-                    f"holds {version.digest or 'nothing'} as version {number},"
+                    f"holds {version.digest or 'no content'} as version {number},"
                     f" a quorum holds {target.digest}"
                 )
                 return Comparison(HealthState.DIVERGED, reason, since)
             diverged = member.state == HealthState.DIVERGED
             state = HealthState.DIVERGED if diverged else HealthState.LAGGING
-            reason = f"holds other content as version {number}, just now"
+            reason = f"holds other content as version {number}, not confirmed yet"
             return Comparison(state, reason, since)
         member.differs_since = 0
         if target.contested:
-            reason = f"no quorum holds one content as version {number}"
+            reason = f"no quorum holds the same content as version {number}"
             return Comparison(HealthState.UNKNOWN, reason)
         reason = f"holds version {number}{version.source}"
         return Comparison(HealthState.CURRENT, reason)
 
 
-def conclude(
+def record_health(
     member: MemberHistory,
     now: int,
-    found: Comparison,
+    result: Comparison,
     since: int,
     target: Frontier | None = None,
 ) -> MemberHealth:
-    """Records a member's state; an outdated or silent one counts from when it began to be so."""
-    if found.state != member.state:
-        member.state = found.state
-        backdated = found.state in OUTDATED_STATES | {HealthState.SILENT}
+    """Records the result of an evaluation in a member's history, and returns it as the member's health.
+
+    Args:
+        member: The history to update.
+        now: Monotonic microseconds.
+        result: The member's state and the reason for it.
+        since: When an outdated or silent state began (monotonic microseconds). Other states begin `now`.
+        target: The frontier that the member should hold.
+    """
+    if result.state != member.state:
+        member.state = result.state
+        backdated = result.state in OUTDATED_STATES | {HealthState.SILENT}
         member.since = since if backdated else now
-    member.reason = found.reason
+    member.reason = result.reason
     return MemberHealth(
-        found.state, found.reason, member.since, found.behind_since, target
+        result.state, result.reason, member.since, result.behind_since, target
     )
 
 
 def voters_of(names: Sequence[str], fresh: Mapping[str, StatusRecord]) -> list[str]:
-    """The live members that are not quarantined; those without a status count."""
+    """Returns the live members that are not quarantined, including those without a status."""
     return [
         name
         for name in names
@@ -353,7 +403,7 @@
 def reference_of(
     frontiers: Mapping[str, Frontier], quorum: int, voters: int
 ) -> Frontier | None:
-    """The frontier of the origin that a majority of all voters uses."""
+    """Returns the frontier of the origin that a majority of all voters uses; None if there is none."""
     for frontier in frontiers.values():
         if frontier.quorum == quorum and frontier.voters == voters:
             return frontier
@@ -361,7 +411,7 @@
 
 
 def count_reports(fresh: Mapping[str, StatusRecord]) -> Counter[VersionNumber]:
-    """How many members report each number of each origin."""
+    """Counts the members that report each version number of each origin."""
     return Counter(
         number
         for status in fresh.values()
@@ -373,7 +423,7 @@
 
 
 def side_of(live: int, known: int) -> str:
-    """Which side of a partition this is."""
+    """Returns the side of a partition: "whole" if all known members are alive, "majority" or "minority"."""
     if live == known:
         return "whole"
     return "majority" if 2 * live > known else "minority"
--- a/loadbalancer/audit/frontier.py
+++ b/loadbalancer/audit/frontier.py
@@ -1,7 +1,8 @@
 """The frontier of versions: the highest version of an origin that a quorum holds.
 
-A member speaks for each version that it holds or held just now. It speaks for a lower one than it holds only
-if a second member reports the higher as well: so a member that claims version 10^9 moves nothing.
+A member supports each version that its status lists: the one that it holds and the last ones before it. It
+supports lower versions only if a second member reports the higher version as well; so a single member that
+reports version 10^9 does not move the frontier.
 """
 
 from __future__ import annotations
@@ -14,12 +15,13 @@
 from loadbalancer.audit.fleet_view import Frontier
 from loadbalancer.audit.status import StatusRecord, VersionId
 
-MAX_MOVES = 64  # of a frontier that are remembered
-MIN_PARTIAL_GROUP = 3  # members of an origin that only a part of the fleet uses
+MAX_MOVES = 64  # moves of a frontier that are remembered
+# Fewest members for a frontier of an origin that less than a quorum uses.
+MIN_PARTIAL_GROUP = 3
 
 
 class Move(NamedTuple):
-    """A frontier reached a number at a moment (monotonic microseconds)."""
+    """A frontier has reached `number` at the time `at` (monotonic microseconds)."""
 
     at: int
     number: int
@@ -27,29 +29,29 @@
 
 @dataclass
 class FrontierHistory:
-    """How a frontier has moved, oldest first."""
+    """The last moves of a frontier, oldest first."""
 
     moves: list[Move] = field(default_factory=list)
 
     def record(self, now: int, number: int) -> None:
-        """Notes the frontier's present number; a number that falls begins a new numbering."""
+        """Records the frontier's present number; a lower number than before starts a new numbering."""
         if self.moves and number < self.moves[-1].number:
             self.moves.clear()
         if not self.moves or number > self.moves[-1].number:
             self.moves = [*self.moves[-(MAX_MOVES - 1) :], Move(now, number)]
 
     def passed_at(self, number: int) -> int:
-        """When the frontier went past a number; 0 if it has not."""
+        """Returns when the frontier passed a number (monotonic microseconds); 0 if it has not."""
         return next((move.at for move in self.moves if move.number > number), 0)
 
 
 def find_frontiers(
     voters: Sequence[str], statuses: Mapping[str, StatusRecord], quorum: int
 ) -> dict[str, Frontier]:
-    """The frontiers by origin; an origin that too few members use has none.
+    """Returns the frontiers by origin; an origin that too few members use has none.
 
     Args:
-        voters: Live members that are not quarantined; those without a status count in full.
+        voters: Live members that are not quarantined, including those without a status.
         statuses: Fresh statuses by member.
         quorum: Majority of the voters.
     """
@@ -58,7 +60,7 @@
         status = statuses.get(name)
         if status is not None and status.list_version is not None:
             groups.setdefault(status.list_version.origin, {})[name] = status
-    found = {}
+    frontiers = {}
     for origin, group in groups.items():
         if len(group) >= quorum:
             frontier = find_frontier(origin, group, quorum, len(voters))
@@ -67,14 +69,21 @@
         else:
             continue
         if frontier is not None:
-            found[origin] = frontier
-    return found
+            frontiers[origin] = frontier
+    return frontiers
 
 
 def find_frontier(
     origin: str, group: Mapping[str, StatusRecord], quorum: int, voters: int
 ) -> Frontier | None:
-    """The highest version for which `quorum` members speak; None if there is none."""
+    """Returns the highest version that `quorum` members support; None if there is none.
+
+    Args:
+        origin: The origin.
+        group: Statuses of the members that use this origin.
+        quorum: Number of members that must support the version.
+        voters: Number of members of which the quorum is a majority.
+    """
     versions = {
         name: [version for version in status.list_versions if version.origin == origin]
         for name, status in group.items()
@@ -105,7 +114,7 @@
 
 
 class VersionNumber(NamedTuple):
-    """A version whatever its content."""
+    """A version number of an origin, regardless of the content."""
 
     origin: str
     number: int
@@ -114,7 +123,7 @@
 def holders_by_number(
     versions: Mapping[str, Sequence[VersionId]],
 ) -> dict[int, set[str]]:
-    """The members that hold or held each number."""
+    """Returns the members whose statuses list each number."""
     holders: dict[int, set[str]] = {}
     for name, reported in versions.items():
         for version in reported:
@@ -129,17 +138,19 @@
     quorum: int,
     voters: int,
 ) -> Frontier:
-    """The frontier at a number, with the content that a quorum holds if there is one."""
+    """Returns the frontier at a number, with the digest of the content that a quorum holds, if any."""
     digests = Counter(
         digest
         for reported in versions.values()
-        for digest in {one.digest for one in reported if one.number == version.number}
+        for digest in {
+            held.digest for held in reported if held.number == version.number
+        }
     )
-    digest, most = digests.most_common(1)[0]
-    agreed = most >= quorum
-    present = VersionId(version.origin, version.number, digest)
+    digest, count = digests.most_common(1)[0]
+    agreed = count >= quorum
+    most_common = VersionId(version.origin, version.number, digest)
     holders = sorted(
-        name for name, reported in versions.items() if reported[-1] == present
+        name for name, reported in versions.items() if reported[-1] == most_common
     )
     return Frontier(
         version.origin,
--- a/loadbalancer/audit/quarantine.py
+++ b/loadbalancer/audit/quarantine.py
@@ -1,17 +1,20 @@
-"""When an outdated node stops serving clients, and how the members keep the number of such nodes bounded.
+"""Decides when an outdated node stops serving clients, and bounds the number of such nodes by voting.
 
-There is no coordinator. There are as many slots as the configured ratio of the known members comes to. A node
-that has failed to catch up requests a slot in its status. Each healthy member votes, in its own status, for
-one request a slot at most. A request with the votes of a majority of the known members may be used. Two
-majorities of one slot have a member in common, so no two nodes are ever quarantined by one slot, and a
-minority has none.
+No coordinator is involved. The number of quarantine slots is the configured ratio of the known members. A
+node that has failed to catch up requests a slot in its status. Each up-to-date member votes, in its own
+status, for at most one request per slot. A request may be used once a majority of the known members has voted
+for it. Any two majorities for one slot have a member in common, so no two nodes are ever quarantined in the
+same slot, and a minority can quarantine no node.
 
-A vote is withdrawn only once the requester's own status no longer has the request, and a request that was
-withdrawn is never used again. A member that has just started, or stood still, does not vote; so it cannot
+A vote is withdrawn only once the requester's own status no longer contains the request, and a withdrawn
+request is never used again. A member that has just started, or was suspended, does not vote; so it cannot
 vote twice.
 
-A quarantined node rejoins when it has held the frontier for a while, or at once when there is no majority
-that could judge it or too few other members are ready. Pure: no I/O, no clock; the random source is given.
+A quarantined node rejoins when it has held the frontier for `RemediationRules.rejoin_after_us`, when there
+has been no majority to compare it with for `RemediationRules.no_majority_us`, or at once when too few other
+members are ready.
+
+Pure: no I/O, no clock; the random source is passed in.
 """
 
 from __future__ import annotations
@@ -31,43 +34,44 @@
 from loadbalancer.audit.rules import RemediationRules
 from loadbalancer.audit.status import Ballot, QuarantineState, StatusRecord, stable_hash
 
-MAX_SLOTS = 32
-START_BITS = 24  # drawn at the start, so that requests of two incarnations differ
-COUNTER_BITS = 8  # below them, for the requests of one incarnation
-RATIO_TOLERANCE = 1e-9  # a ratio of exactly n members makes n slots
-# Added before truncation, so that a float error below 1e-6 rounds nothing up
+MAX_SLOTS = 32  # upper bound, whatever the size of the fleet
+RANDOM_BITS = 24  # random high bits of the request count, so that requests of two incarnations differ
+COUNTER_BITS = 8  # low bits of the request count, for the requests of one incarnation
+# Added, so that a ratio that amounts to exactly n members yields n slots.
+RATIO_TOLERANCE = 1e-9
+# Added before truncation to round up; a float error below 1e-6 does not add a member.
 ROUND_UP_OFFSET = 0.999999
 
 
 class QuarantineRequest(NamedTuple):
-    """A member's request to be quarantined, by its number."""
+    """A request of a member to be quarantined, identified by its number."""
 
     member: str
     number: int
 
 
 class RequestedSlot(NamedTuple):
-    """The slot that a request is for, and its state."""
+    """The slot that a request is for, and the state of the requester."""
 
     slot: int
     state: QuarantineState
 
 
 def slot_count(rules: RemediationRules, view: FleetView) -> int:
-    """How many members may be quarantined at a time."""
+    """Returns the number of members that may be quarantined at the same time."""
     slots = int(rules.max_quarantined_ratio * view.known_count + RATIO_TOLERANCE)
     return min(MAX_SLOTS, slots)
 
 
 def min_ready(rules: RemediationRules, view: FleetView) -> int:
-    """How many members have to stay ready."""
+    """Returns the number of members that must stay ready."""
     return max(
         rules.min_ready, int(rules.min_ready_ratio * len(view.live) + ROUND_UP_OFFSET)
     )
 
 
 def count_ready(view: FleetView) -> int:
-    """Members that take clients, and neither are quarantined nor ask for it."""
+    """Counts the members that accept clients and neither are quarantined nor request it."""
     fresh = (
         received.status for received in view.statuses.values() if not received.stale
     )
@@ -79,12 +83,30 @@
 
 
 def enough_ready(rules: RemediationRules, view: FleetView) -> bool:
-    """Whether the ready members suffice."""
+    """Returns whether at least `min_ready` members are ready."""
     return count_ready(view) >= min_ready(rules, view)
 
 
 class Quarantine:
-    """This node's own request: serving, requested, quarantined."""
+    """The state machine of this node's own quarantine: serving, requested, quarantined.
+
+    Times are monotonic microseconds.
+
+    Attributes:
+        name: This node's name among the members.
+        rules: Times and limits; may be replaced at any time.
+        random: Source of the request numbers and of the delay between two requests.
+        state: Whether the node is serving, has requested quarantine, or is quarantined.
+        slot: The quarantine slot that the last request is for.
+        request_number: The number of the last request; 0 before the first.
+        request_count: Counts the requests, from a random start in each incarnation.
+        since: When the present state began.
+        next_request_at: When the next request may be made.
+        approval_pending: Whether the host has been asked to approve the quarantine and has not answered yet.
+        current_since: While quarantined: since when the node has held the frontier; 0 if it does not.
+        no_majority_since: While quarantined: since when there has been no majority to compare the node with;
+            0 if there is one.
+    """
 
     def __init__(self, name: str, rules: RemediationRules, random: Random) -> None:
         self.name = name
@@ -92,17 +114,26 @@
         self.random = random
         self.state = QuarantineState.SERVING
         self.slot = self.request_number = 0
-        self.request_count = random.getrandbits(START_BITS) << COUNTER_BITS
-        self.since = 0  # of the state
+        self.request_count = random.getrandbits(RANDOM_BITS) << COUNTER_BITS
+        self.since = 0
         self.next_request_at = 0
         self.approval_pending = False
-        self.current_since = 0  # while quarantined: it holds the frontier
-        self.unjudged_since = 0  # while quarantined: no majority could judge it
+        self.current_since = 0
+        self.no_majority_since = 0
 
     def update(
         self, now: int, view: FleetView, catch_up_failed: bool
     ) -> list[Remediation]:
-        """The next transition, and what the host is to do for it."""
+        """Makes the transition that is due.
+
+        Args:
+            now: Monotonic microseconds.
+            view: The latest observation of the fleet.
+            catch_up_failed: Whether all steps of catching up have been tried `max_rounds` times.
+
+        Returns:
+            The actions that the host has to perform.
+        """
         if self.state == QuarantineState.QUARANTINED:
             return self.check_rejoin(now, view)
         health = view.health[self.name]
@@ -118,7 +149,7 @@
         return self.check_votes(now, view, failed, health.reason)
 
     def request_slot(self, now: int, view: FleetView) -> None:
-        """Serving to requested: requests a slot that seems to be free."""
+        """Transition from serving to requested: requests a slot that seems to be free."""
         slots = slot_count(self.rules, view)
         may_request = view.settled and view.side != "minority"
         if not slots or not may_request or now < self.next_request_at:
@@ -133,14 +164,14 @@
         }
         free = [slot for slot in range(slots) if slot not in occupied]
         free = free or list(range(slots))
-        place = stable_hash("slot", self.name, self.request_count) % len(free)
-        self.slot = free[place]
+        index = stable_hash("slot", self.name, self.request_count) % len(free)
+        self.slot = free[index]
         self.state = QuarantineState.REQUESTED
 
     def check_votes(
         self, now: int, view: FleetView, failed: bool, reason: str
     ) -> list[Remediation]:
-        """Requested: requests approval once a majority has voted for the request."""
+        """In state requested: asks the host for approval once a majority has voted for the request."""
         expired = now - self.since >= self.rules.request_timeout_us
         if not failed or (expired and not self.approval_pending):
             self.withdraw(now)
@@ -148,19 +179,19 @@
         if self.approval_pending or not view.settled:
             return []
         votes = self.count_votes(view)
-        # The largest count of any member: one that has just joined may know only a few of the others.
+        # The largest count that any member reports: one that has just joined may know only a few others.
         reported = (
             received.status.known_members for received in view.statuses.values()
         )
         known = max([view.known_count, *reported])
         if 2 * votes > known and enough_ready(self.rules, view):
             self.approval_pending = True
-            agreed = f"{reason}; {votes} of {known} agree"
-            return [Remediation(RemediationKind.QUARANTINE, agreed)]
+            approval_reason = f"{reason}; {votes} of {known} members agree"
+            return [Remediation(RemediationKind.QUARANTINE, approval_reason)]
         return []
 
     def count_votes(self, view: FleetView) -> int:
-        """Fresh votes of serving members for this node's request."""
+        """Counts the votes for this node's request in the fresh statuses of serving members."""
         ballot = Ballot(self.slot, self.request_number)
         return sum(
             1
@@ -171,29 +202,37 @@
             and ballot in received.status.votes
         )
 
-    def decided(self, now: int, approved: bool) -> None:
-        """Requested to quarantined, or back: the answer to `RemediationKind.QUARANTINE`."""
+    def apply_decision(self, now: int, approved: bool) -> None:
+        """Transition from requested to quarantined, or back to serving: the host's decision.
+
+        Args:
+            now: Monotonic microseconds.
+            approved: The host's answer to `RemediationKind.QUARANTINE`.
+        """
         self.approval_pending = False
         if not approved:
             self.withdraw(now)
         elif self.state == QuarantineState.REQUESTED:
             self.state, self.since = QuarantineState.QUARANTINED, now
-            self.current_since = self.unjudged_since = 0
+            self.current_since = self.no_majority_since = 0
 
     def withdraw(self, now: int) -> None:
-        """Back to serving. The request is never used again; another one may be made later."""
+        """Returns to serving. The request is never used again; another one may be made later.
+
+        The next request is delayed by 0.5 to 1.5 times the request timeout, at random.
+        """
         self.state, self.since = QuarantineState.SERVING, now
         self.approval_pending = False
         timeout = self.rules.request_timeout_us
         self.next_request_at = now + timeout // 2 + int(self.random.random() * timeout)
 
     def check_rejoin(self, now: int, view: FleetView) -> list[Remediation]:
-        """Quarantined: rejoins when it is current, cannot be judged, or is needed."""
-        # A node that is cut off is a fleet of its own, which always holds its own frontier.
-        judged = view.side != "minority" and bool(view.frontiers)
-        current = view.health[self.name].state == HealthState.CURRENT and judged
+        """In state quarantined: rejoins once the node is current, cannot be compared, or is needed."""
+        # An isolated node sees a fleet of one, which always holds its own frontier: that does not count.
+        has_majority = view.side != "minority" and bool(view.frontiers)
+        current = view.health[self.name].state == HealthState.CURRENT and has_majority
         self.current_since = (self.current_since or now) if current else 0
-        self.unjudged_since = 0 if judged else (self.unjudged_since or now)
+        self.no_majority_since = 0 if has_majority else (self.no_majority_since or now)
         reason = self.rejoin_reason(now, view)
         if not reason:
             return []
@@ -201,36 +240,46 @@
         return [Remediation(RemediationKind.REJOIN, reason)]
 
     def rejoin_reason(self, now: int, view: FleetView) -> str:
-        """Why the node rejoins now; empty if it stays quarantined."""
+        """Returns why the node rejoins now; empty if it stays quarantined."""
         rules = self.rules
         if self.current_since and now - self.current_since >= rules.rejoin_after_us:
             return "holds the frontier again"
-        if self.unjudged_since and now - self.unjudged_since >= rules.no_majority_us:
-            return "no majority that could judge it"
+        if (
+            self.no_majority_since
+            and now - self.no_majority_since >= rules.no_majority_us
+        ):
+            return "no majority to compare it with"
         if view.settled and not enough_ready(rules, view):
-            return f"only {count_ready(view)} others are ready"
+            return f"only {count_ready(view)} other members are ready"
         return ""
 
 
 class Voter:
-    """This node's votes on the other members' requests."""
+    """This node's votes on the quarantine requests of the other members.
+
+    Attributes:
+        name: This node's name among the members.
+        rules: Times and limits; may be replaced at any time.
+        votes: The request that this node votes for, by slot.
+        first_seen: When each open request was first seen, in monotonic microseconds.
+    """
 
     def __init__(self, name: str, rules: RemediationRules) -> None:
         self.name = name
         self.rules = rules
-        self.votes: dict[int, QuarantineRequest] = {}  # by slot
-        self.first_seen: dict[QuarantineRequest, int] = {}  # and since when
+        self.votes: dict[int, QuarantineRequest] = {}
+        self.first_seen: dict[QuarantineRequest, int] = {}
 
     def update(
         self, now: int, started_at: int, view: FleetView, state: QuarantineState
     ) -> None:
-        """Withdraws votes, learns those for members that are quarantined, and gives new ones.
+        """Withdraws votes, restores those for members that are quarantined already, and casts new ones.
 
         Args:
             now: Monotonic microseconds.
             started_at: When this node made its first observation.
-            view: The present observation.
-            state: This node's own.
+            view: The latest observation of the fleet.
+            state: This node's own quarantine state.
         """
         requests = self.open_requests(view)
         self.first_seen = {
@@ -239,7 +288,7 @@
         self.withdraw_votes(view)
         for request, requested in requests.items():
             if requested.state == QuarantineState.QUARANTINED:
-                # A member that has restarted has forgotten its votes, and learns them here.
+                # A member loses its votes when it restarts; here it restores them.
                 self.votes.setdefault(requested.slot, request)
         health_state = view.health[self.name].state
         may_vote = (
@@ -251,7 +300,7 @@
             self.cast_votes(now, view, requests)
 
     def open_requests(self, view: FleetView) -> dict[QuarantineRequest, RequestedSlot]:
-        """The other members' requests."""
+        """Returns the requests of the other members that are requested or in use."""
         return {
             QuarantineRequest(name, received.status.request_number): RequestedSlot(
                 received.status.slot, received.status.quarantine
@@ -262,9 +311,9 @@
         }
 
     def withdraw_votes(self, view: FleetView) -> None:
-        """Withdraws votes for requests that were withdrawn, or of members long forgotten.
+        """Withdraws votes for requests that were withdrawn or whose members have been forgotten.
 
-        A member that is merely cut off may still be quarantined: its vote stays.
+        A member that is only unreachable may still be quarantined, so the vote for it stays.
         """
         for slot, request in list(self.votes.items()):
             received = view.statuses.get(request.member)
@@ -280,7 +329,7 @@
         view: FleetView,
         requests: dict[QuarantineRequest, RequestedSlot],
     ) -> None:
-        """Votes in each free slot for the request with the lowest hash, so that members agree."""
+        """Votes, in each slot without a vote, for the request with the lowest hash, so that members agree."""
         if not enough_ready(self.rules, view):
             return
         slots = slot_count(self.rules, view)
@@ -288,9 +337,9 @@
         for request, requested in requests.items():
             if requested.slot < slots and self.supports(now, view, request, requested):
                 candidates.setdefault(requested.slot, []).append(request)
-        for slot, found in sorted(candidates.items()):
+        for slot, contenders in sorted(candidates.items()):
             if slot not in self.votes:
-                self.votes[slot] = first_by_hash(slot, found)
+                self.votes[slot] = first_by_hash(slot, contenders)
 
     def supports(
         self,
@@ -299,7 +348,10 @@
         request: QuarantineRequest,
         requested: RequestedSlot,
     ) -> bool:
-        """Whether this node too holds the requester for outdated, and it has tried everything."""
+        """Returns whether this node also finds the requester outdated after all its catch-up steps.
+
+        The requester has to be outdated for half of `quarantine_after_us` at least in this node's view.
+        """
         health = view.health.get(request.member)
         received: ReceivedStatus = view.statuses[request.member]
         return (
@@ -313,14 +365,14 @@
         )
 
     def ballots(self) -> tuple[Ballot, ...]:
-        """The votes, for the status."""
+        """Returns the votes as the status record carries them."""
         return tuple(
             sorted(Ballot(slot, request.number) for slot, request in self.votes.items())
         )
 
 
 def has_withdrawn(status: StatusRecord, request: QuarantineRequest, slot: int) -> bool:
-    """Whether the requester's own status no longer has the request."""
+    """Returns whether the requester's own status no longer contains the request."""
     return (
         status.request_number != request.number
         or status.slot != slot
@@ -331,7 +383,7 @@
 def first_by_hash(
     slot: int, requests: Iterable[QuarantineRequest]
 ) -> QuarantineRequest:
-    """The request that all members put first."""
+    """Returns the request with the lowest hash, which is the same on all members."""
     return min(
         requests,
         key=lambda request: (stable_hash("vote", slot, request.member), request),
--- a/loadbalancer/audit/remediation.py
+++ b/loadbalancer/audit/remediation.py
@@ -1,4 +1,4 @@
-"""What remediation reads and asks for: the node's local state and the typed actions. Plain data."""
+"""The data that remediation works on: the node's local state, and the actions for the host."""
 
 from __future__ import annotations
 
@@ -9,32 +9,47 @@
 
 
 class RemediationKind(Enum):
-    """What the host is to do; the values are in the log."""
+    """The kinds of actions that the host performs. The values appear in the log."""
 
     POLL_DISCOVERY = "ask-own"
     REQUEST_FROM_AGENT = "ask-agent"
     REQUEST_FROM_PEER = "ask-peer"
-    NOTIFY = "tell"  # tell a member that it is outdated
-    QUARANTINE = "go-out"  # ask for approval, then call `quarantine_decided`
+    NOTIFY = "tell"  # notify a member that it is outdated
+    QUARANTINE = "go-out"  # request approval, then call `Remediator.quarantine_decided`
     REJOIN = "come-in"
 
 
 @dataclass(frozen=True)
 class Remediation:
-    """One action for the host."""
+    """One action for the host.
+
+    Attributes:
+        kind: What to do.
+        reason: Why, for operators.
+        member: The member to ask or to notify; empty for other kinds.
+        agent_index: Index of the agent to ask among the configured agents.
+        target: The version that is to be obtained, or that the notified member lacks.
+    """
 
     kind: RemediationKind
     reason: str = ""
-    member: str = ""  # that is asked or notified
-    agent_index: int = 0  # of the agents that operators name
+    member: str = ""
+    agent_index: int = 0
     target: VersionId | None = None
 
 
 @dataclass
 class LocalState:
-    """What the host knows of this node."""
-
-    list_version: VersionId | None = None  # from its own discovery
-    adopted: VersionId | None = None  # from peers or another agent
-    discovery_answered_at: int = 0  # monotonic microseconds
-    hinted: bool = False  # another node has said that this one is outdated
+    """What the host knows of this node.
+
+    Attributes:
+        list_version: The version from its own discovery.
+        adopted: The version that it has adopted from peers or another agent.
+        discovery_answered_at: When its own discovery last answered, in monotonic microseconds.
+        hinted: Whether another node has notified it that it is outdated.
+    """
+
+    list_version: VersionId | None = None
+    adopted: VersionId | None = None
+    discovery_answered_at: int = 0
+    hinted: bool = False
--- a/loadbalancer/audit/remediator.py
+++ b/loadbalancer/audit/remediator.py
@@ -1,7 +1,8 @@
-"""One node's decisions about itself and about others that are outdated.
+"""One node's decisions about itself and about other outdated members.
 
-Joins catching up, the quarantine request, votes and notifications. `update` is called after each observation
-of the fleet and answers with typed actions for the host. Pure: no I/O, no clock; the random source is seeded.
+Combines catching up, the quarantine request, votes and notifications. `Remediator.update` is called after
+each observation of the fleet and returns actions for the host. Pure: no I/O, no clock; the random source is
+seeded.
 """
 
 from __future__ import annotations
@@ -15,13 +16,25 @@
 from loadbalancer.audit.rules import RemediationRules
 from loadbalancer.audit.status import Ballot, stable_hash
 
-NOTIFIERS = 2  # members that notify one that is outdated
-MAX_NOTIFICATIONS = 1_000  # that are remembered; beyond them the oldest are dropped
-RETAINED_NOTIFICATIONS = 500  # after that
+NOTIFIERS = 2  # members that notify an outdated one
+# Notifications that are remembered; beyond them the oldest are dropped.
+MAX_NOTIFICATIONS = 1_000
+RETAINED_NOTIFICATIONS = 500  # notifications that remain after that
 
 
 class Remediator:
-    """One node's remediation. `update` is called after each observation."""
+    """One node's remediation. `update` is called after each observation.
+
+    Attributes:
+        name: This node's name among the members.
+        rules: Times and limits; replaced by `update_rules`.
+        catch_up: How this node catches up.
+        quarantine: This node's own quarantine.
+        voter: This node's votes on the requests of others.
+        started_at: Time of the first update in monotonic microseconds; 0 before it.
+        unsettled: Whether the last observation was not settled.
+        notified: When a member was found to be behind a version number, by both.
+    """
 
     def __init__(self, name: str, rules: RemediationRules, seed: int) -> None:
         self.name = name
@@ -32,19 +45,25 @@
         self.voter = Voter(name, rules)
         self.started_at = 0
         self.unsettled = False
-        self.notified: dict[tuple[str, int], int] = {}  # member and version, when
+        self.notified: dict[tuple[str, int], int] = {}
 
     def update_rules(self, rules: RemediationRules) -> None:
-        """Takes other rules; what goes on goes on."""
+        """Replaces the rules; attempts, requests and votes in progress continue."""
         self.rules = self.catch_up.rules = rules
         self.quarantine.rules = self.voter.rules = rules
 
     def update(self, now: int, view: FleetView, local: LocalState) -> list[Remediation]:
-        """What is to be done now (monotonic microseconds)."""
+        """Returns the actions for the host.
+
+        Args:
+            now: Monotonic microseconds.
+            view: The latest observation of the fleet.
+            local: What the host knows of this node.
+        """
         self.started_at = self.started_at or now
         actions: list[Remediation] = []
         if not view.settled and not self.unsettled:
-            reason = "begun, or stood still: what was told meanwhile was missed"
+            reason = "started or was suspended: may have missed an update"
             actions.append(Remediation(RemediationKind.POLL_DISCOVERY, reason))
         self.unsettled = not view.settled
         actions += self.catch_up.update(now, view.health[self.name], local)
@@ -54,27 +73,27 @@
         return actions
 
     def quarantine_decided(self, now: int, approved: bool) -> None:
-        """The host's answer to `RemediationKind.QUARANTINE`."""
-        self.quarantine.decided(now, approved)
+        """Passes the host's answer to `RemediationKind.QUARANTINE` on to the quarantine."""
+        self.quarantine.apply_decision(now, approved)
 
     @property
     def step(self) -> CatchUpStep:
-        """The step of catching up, for the status."""
+        """The step of catching up, as the status record carries it."""
         return self.catch_up.step
 
     @property
     def discovery_deadline(self) -> int:
-        """Until when (microseconds) the own discovery was last waited for; 0: never."""
+        """Until when (monotonic microseconds) the own discovery was last waited for; 0 if it never was."""
         return self.catch_up.discovery_deadline
 
     def ballots(self) -> tuple[Ballot, ...]:
-        """The votes, for the status."""
+        """Returns the votes as the status record carries them."""
         return self.voter.ballots()
 
     def notify_outdated(self, now: int, view: FleetView) -> list[Remediation]:
-        """Notifies outdated members, each once a version.
+        """Notifies the members that are behind, each once per version.
 
-        Two holders do it, chosen by hash, so that all members choose the same.
+        `NOTIFIERS` holders of the version do so, chosen by hash, so that all members choose the same ones.
         """
         if not view.settled or view.health[self.name].behind_since:
             return []
@@ -99,7 +118,7 @@
 
 
 def notifiers(member: str, holders: tuple[str, ...]) -> list[str]:
-    """Which holders notify a member."""
+    """Returns the holders that notify a member."""
     return sorted(holders, key=lambda holder: stable_hash("tell", holder, member))[
         :NOTIFIERS
     ]
