--- a/benchmarks/evenness.py
+++ b/benchmarks/evenness.py
@@ -87,7 +87,7 @@
             r,
             max(
                 SUBSET_LEAST,
-                spread_weights.least_subset_size(r, mean, len(rates), servers)
+                spread_weights.min_subset_size(r, mean, len(rates), servers)
                 if wide
                 else 0,
             ),
--- a/loadbalancer/node/features/weight_updates.py
+++ b/loadbalancer/node/features/weight_updates.py
@@ -181,7 +181,7 @@
         own = self.reports.get(self.host.name)
         mean = sum(report.rate for report in reports) / len(reports)
         least = (
-            spread_weights.least_subset_size(own.rate, mean, len(reports), servers)
+            spread_weights.min_subset_size(own.rate, mean, len(reports), servers)
             if own is not None
             else 0
         )
--- a/loadbalancer/spread/__init__.py
+++ b/loadbalancer/spread/__init__.py
@@ -1,1 +1,1 @@
-"""Load spreading among live members: ring positions, rate reports, and weights that even the load out."""
+"""Spreads load evenly over the servers: ring positions of the live members, rate reports, weights."""
--- a/loadbalancer/spread/weights.py
+++ b/loadbalancer/spread/weights.py
@@ -1,14 +1,16 @@
-"""Weights by which nodes select their servers so that all servers get the same, from the nodes' rates.
+"""Computes weights, from the nodes' request rates, by which nodes select servers so that all get equal load.
 
-Node i sends its rate to the servers of its subset; each server should get its equal part. This is a flow
-between two sides (rows: nodes' rates; columns: servers' parts; zero outside of the subsets), fitted by
-scaling: one factor a server, the same for all nodes, multiplied sweep by sweep by what the server should get
-over what it would get. A node selects its members by their factors. So all nodes that hold the same records
-compute the same factors, and none needs to know another's weights.
+Each node sends its rate to the servers of its subset, and each server should receive an equal share. This is
+a matrix scaling problem (rows: the nodes' rates; columns: the servers' shares; zero outside of the subsets).
+It is solved iteratively with one factor per server, the same for all nodes: each sweep multiplies the factor
+by the server's target load over its expected load. A node selects its members by their factors. All nodes
+that hold the same records compute the same factors, so none needs to know another's weights.
 
-Two members are drawn at a time and one of them is taken, so a member of few with a large factor gets less
-than its factor's part; the sweep accounts for that. Free of I/O, clock and randomness. Iterators that yield
-unfinished steps let the caller pause between two slices of the work.
+A node draws two members at a time and selects one of them, so in a small subset a member with a large factor
+gets less than its factor's share; the sweeps account for that.
+
+Pure: no I/O, no clock, no randomness. The generators yield between slices of the work, so that the caller can
+pause there.
 """
 
 from __future__ import annotations
@@ -23,71 +25,84 @@
 from loadbalancer.spread.rate_report import RateReport
 
 MIN_FACTOR, MAX_FACTOR = 0.25, 4.0
-MAX_SWEEPS = 40
-TOLERANCE_RATIO = 0.01  # all servers within this of their part: no further sweep
-SLICE_MEMBERS = 2_000  # members visited between two steps of the work
-ROW_COST_MEMBERS = 20  # what a new row costs, counted in members visited
-MEAN_NODE_MEMBERS = 4.0  # members of a node of the mean rate
-FOLLOW_RATIO = 0.25  # part of the way to new weights, in octaves, that one step goes
-ARRIVED_RATIO = 0.01  # a factor so near to its target has arrived
-MIN_REPORTED_RATIO = 0.5  # fewer of the members have reported: no weights
-MIN_REPORTS = 2
+MAX_SWEEPS = 40  # sweeps after which the factors are used as they are
+# Sweeps end once the load of every server is within this ratio of its target.
+TOLERANCE_RATIO = 0.01
+SLICE_MEMBERS = 2_000  # members visited between two yields
+ROW_COST_MEMBERS = 20  # cost of creating a row, in visited members
+MEAN_NODE_MEMBERS = 4.0  # subset size, in servers, of a node with the mean rate
+# Fraction of the distance to the target, in octaves, that one step covers.
+STEP_RATIO = 0.25
+CONVERGED_RATIO = 0.01  # a factor within this ratio of its target is set to the target
+MIN_REPORTED_RATIO = 0.5  # no weights if a smaller fraction of the members has reported
+MIN_REPORTS = 2  # no weights with fewer reports
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetRow:
-    """What all nodes with one subset send, together.
+    """The total rate of all nodes that have the same subset.
 
     Attributes:
         members: Columns of the subset's servers, from 0.
-        rate: Requests a second.
+        rate: Requests a second of these nodes together.
     """
 
     members: tuple[int, ...]
     rate: float
 
 
-def least_subset_size(rate: float, mean: float, nodes: int, servers: int) -> int:
-    """Servers that a node should use at the least, by its rate and the mean of all nodes.
+def min_subset_size(rate: float, mean_rate: float, nodes: int, servers: int) -> int:
+    """Returns the minimum number of servers that a node should use, by its rate and the mean of all nodes.
 
-    A node of the mean rate has `MEAN_NODE_MEMBERS`, or where servers are more than nodes, so many times its
-    part of them; a lesser one in proportion, a busier one by the square of its rate: so it adds no more to
-    the variance of what servers get than any other.
+    A node with the mean rate uses `MEAN_NODE_MEMBERS` servers, times the number of servers per node if there
+    are more servers than nodes. A node with a lower rate uses proportionally fewer, and one with a higher
+    rate uses more by the square of its rate, so that it adds no more to the variance of the servers' load
+    than any other node.
 
-    A busy node's traffic is divided over enough servers that none of them gets more from it alone than the
-    other nodes' weights can make up for.
+    A busy node's traffic is thus divided over enough servers that none of them gets more from this node alone
+    than the other nodes' weights can compensate for.
 
     Args:
         rate: The node's requests a second.
-        mean: Requests a second of a node, on average.
-        nodes: How many nodes share the servers.
-        servers: How many servers there are.
+        mean_rate: Mean requests a second of all nodes.
+        nodes: Number of nodes that share the servers.
+        servers: Number of servers.
     """
-    if rate <= 0 or mean <= 0:
+    if rate <= 0 or mean_rate <= 0:
         return 0
-    part = rate / mean
+    relative_rate = rate / mean_rate
     return min(
         SUBSET_BOUND,
         servers,
-        ceil(MEAN_NODE_MEMBERS * max(1.0, servers / nodes) * max(part, part**2)),
+        ceil(
+            MEAN_NODE_MEMBERS
+            * max(1.0, servers / nodes)
+            * max(relative_rate, relative_rate**2)
+        ),
     )
 
 
 def completed_reports(
-    live: Sequence[str], reports: Mapping[str, RateReport], least: int
+    live: Sequence[str], reports: Mapping[str, RateReport], default_size: int
 ) -> list[RateReport] | None:
-    """One report for each live member; None while too few have reported.
+    """Returns one report for each live member; None if too few members have reported.
+
+    A member that has not reported is assumed to have the mean rate, `default_size` servers, and its position
+    in the sorted names.
 
-    A member that has not reported is given the mean rate, `least` servers, and the position by the names.
+    Args:
+        live: Names of the live members.
+        reports: The received reports by member.
+        default_size: Subset size of members that have not reported, in servers.
     """
     known = [reports[name] for name in live if name in reports]
     if len(known) < MIN_REPORTED_RATIO * len(live) or len(known) < MIN_REPORTS:
         return None
-    mean = sum(report.rate for report in known) / len(known)
+    mean_rate = sum(report.rate for report in known) / len(known)
     return [
         reports[name]
         if name in reports
-        else RateReport(mean, least, position, len(live))
+        else RateReport(mean_rate, default_size, position, len(live))
         for position, name in enumerate(sorted(live))
     ]
 
@@ -95,9 +110,13 @@
 def subset_rows(
     endpoint_list: EndpointList, zone: int | None, reports: Sequence[RateReport]
 ) -> Iterator[tuple[list[int], list[SubsetRow]]]:
-    """The servers of a zone (None: of all) and who uses which of them; empty until all is computed.
+    """Computes the servers of a zone (None: of all zones) and the nodes' subsets of them.
 
-    Nodes whose subsets are the same share a row, so rows are bounded by the servers, not by the nodes.
+    Nodes with the same subset share a row, so the number of rows is bounded by the servers, not by the nodes.
+
+    Yields:
+        Two empty lists while the work continues; finally the ids of the servers in the order of the columns,
+        and the rows.
     """
     zone_orders = [
         kinds
@@ -130,7 +149,7 @@
 
 
 def _server_ids(endpoint_list: EndpointList, zone_orders: Sequence[Kinds]) -> list[int]:
-    """The valid servers of these zones, in the order of the columns."""
+    """Returns the ids of the valid servers of these zones, in the order of the columns."""
     return [
         listed.id
         for kinds in zone_orders
@@ -145,7 +164,7 @@
     report: RateReport,
     columns: Mapping[int, int],
 ) -> tuple[int, ...]:
-    """Columns of the servers that a node with this report uses."""
+    """Returns the columns of the servers that a node with this report uses."""
     members: list[int] = []
     for kinds in zone_orders:
         size = subset_size(
@@ -157,60 +176,67 @@
 
 
 def expected_loads(
-    factors: Sequence[float], table: Sequence[SubsetRow]
+    factors: Sequence[float], rows: Sequence[SubsetRow]
 ) -> Iterator[list[float] | None]:
-    """What each server gets where all nodes draw two members by these factors and take one of them.
+    """Computes the load of each server if all nodes draw two members by these factors and select one of them.
 
     Yields:
-        None while the work goes on; at last each server's requests a second.
+        None while the work continues; finally the requests a second of each server.
     """
-    load = [0.0] * len(factors)
+    loads = [0.0] * len(factors)
     visited = 0
-    for row in table:
+    for row in rows:
         members = row.members
         if len(members) == 1:
-            load[members[0]] += row.rate
+            loads[members[0]] += row.rate
         else:
-            drawn = [factors[member] for member in members]
-            total = sum(drawn)
-            odds = [factor / (total - factor) for factor in drawn]
-            both, scale = 1 + sum(odds), row.rate / (2 * total)
-            for member, factor, odd in zip(members, drawn, odds, strict=True):
-                load[member] += scale * factor * (both - odd)
+            member_factors = [factors[member] for member in members]
+            total = sum(member_factors)
+            odds = [factor / (total - factor) for factor in member_factors]
+            odds_sum, scale = 1 + sum(odds), row.rate / (2 * total)
+            for member, factor, own_odds in zip(
+                members, member_factors, odds, strict=True
+            ):
+                loads[member] += scale * factor * (odds_sum - own_odds)
         visited += len(members)
         if visited >= SLICE_MEMBERS:
             visited = 0
             yield None
-    yield load
+    yield loads
 
 
 def fitted_factors(
-    count: int, table: Sequence[SubsetRow]
+    count: int, rows: Sequence[SubsetRow]
 ) -> Iterator[list[float] | None]:
-    """Factors for `count` servers, in steps: None while the work goes on."""
+    """Computes the factors of `count` servers.
+
+    Yields:
+        None while the work continues; finally the factors in the order of the columns.
+    """
     factors = [1.0] * count
-    rate = sum(row.rate for row in table)
-    if count == 0 or rate <= 0:
+    total_rate = sum(row.rate for row in rows)
+    if count == 0 or total_rate <= 0:
         yield factors
         return
-    target = rate / count
+    target_load = total_rate / count
     for _ in range(MAX_SWEEPS):
         loads: list[float] | None = None
-        for loads in expected_loads(factors, table):
+        for loads in expected_loads(factors, rows):
             if loads is None:
                 yield None
         assert loads is not None
-        if max(loads) <= target * (1 + TOLERANCE_RATIO) and min(loads) >= target * (
-            1 - TOLERANCE_RATIO
-        ):
+        if max(loads) <= target_load * (1 + TOLERANCE_RATIO) and min(
+            loads
+        ) >= target_load * (1 - TOLERANCE_RATIO):
             break
         scaled = [
-            factor * target / load if load > 0 else factor
+            factor * target_load / load if load > 0 else factor
             for factor, load in zip(factors, loads, strict=True)
         ]
-        middle = exp(sum(map(log, scaled)) / count)
+        geometric_mean = exp(sum(map(log, scaled)) / count)
         factors = [
-            min(MAX_FACTOR, max(MIN_FACTOR, factor / middle)) for factor in scaled
+            min(MAX_FACTOR, max(MIN_FACTOR, factor / geometric_mean))
+            for factor in scaled
         ]
     yield factors
 
@@ -218,42 +244,47 @@
 def factors_by_server(
     endpoint_list: EndpointList, zone: int | None, reports: Sequence[RateReport]
 ) -> Iterator[dict[int, float] | None]:
-    """Factors by server id for these reports, in steps of some tenths of a millisecond.
+    """Computes the factors by server id for these reports, in slices of some tenths of a millisecond.
+
+    Args:
+        endpoint_list: The servers.
+        zone: The zone whose servers are used; None for all zones.
+        reports: One report for each node.
 
     Yields:
-        None while the work goes on; at last the factors.
+        None while the work continues; finally the factors.
     """
     ids: list[int] = []
-    table: list[SubsetRow] = []
+    rows: list[SubsetRow] = []
     for step in subset_rows(endpoint_list, zone, reports):
-        ids, table = step
+        ids, rows = step
         yield None
-    for factors in fitted_factors(len(ids), table):
+    for factors in fitted_factors(len(ids), rows):
         yield None if factors is None else dict(zip(ids, factors, strict=True))
 
 
 def next_factors(
     current: Mapping[int, float], target: Mapping[int, float]
 ) -> dict[int, float]:
-    """Factors one step nearer to their targets; a server that is not named has, or should have, 1.
+    """Returns the factors one step closer to their targets. Servers without an entry have a factor of 1.
 
-    One step moves a factor a part of its way only, so new targets never move the traffic of all nodes in one
-    moment.
+    One step covers only a fraction of the distance, so new targets never move the traffic of all nodes at
+    once.
     """
-    found = {}
+    factors = {}
     for server in current.keys() | target.keys():
         old, new = current.get(server, 1.0), target.get(server, 1.0)
-        if abs(new / old - 1) > ARRIVED_RATIO:
-            new = old * (new / old) ** FOLLOW_RATIO
+        if abs(new / old - 1) > CONVERGED_RATIO:
+            new = old * (new / old) ** STEP_RATIO
         if new != 1.0:
-            found[server] = new
-    return found
+            factors[server] = new
+    return factors
 
 
 def relative_weights(
     factors: Mapping[int, float], members: Sequence[int]
 ) -> dict[int, float]:
-    """Weights for the selection, 1 for the member with the largest factor; those below 1 only."""
+    """Returns the selection weights of members relative to the largest factor; only those below 1."""
     largest = max((factors.get(member, 1.0) for member in members), default=1.0)
     weights = {member: factors.get(member, 1.0) / largest for member in members}
     return {member: weight for member, weight in weights.items() if weight < 1.0}
