--- a/tests/test_audit_fleet.py
+++ b/tests/test_audit_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's view, bringing up and shutting out: the pure deciders in a world of words that spread."""
+"""The fleet observer and the remediator: catch-up and quarantine on an emulated status exchange."""
 
 from __future__ import annotations
 
@@ -28,42 +28,43 @@
 
 @dataclass
 class Node:
-    """One node: its deciders, what it holds, and what it has heard."""
+    """One node: its observer and remediator, its lists, and the statuses it has received."""
 
     name: str
-    view: FleetObserver
-    mender: Remediator
-    offset: int  # of its clock
-    own: LocalState = field(default_factory=LocalState)
-    lists: tuple[VersionId, ...] = ()
-    heard: dict[str, StatusRecord] = field(default_factory=dict)
-    picture: FleetView | None = None
-    deeds: list[tuple[int, Remediation]] = field(default_factory=list)
+    observer: FleetObserver
+    remediator: Remediator
+    clock_offset: int
+    local: LocalState = field(default_factory=LocalState)
+    list_versions: tuple[VersionId, ...] = ()
+    statuses: dict[str, StatusRecord] = field(default_factory=dict)
+    view: FleetView | None = None
+    actions: list[tuple[int, Remediation]] = field(default_factory=list)
     sent: StatusRecord | None = None
 
 
 class World:
-    """Words arrive after a drawn time of up to `slow`; times are the world's, each node's clock is apart."""
+    """Nodes that exchange statuses in virtual time, each with a clock offset of its own.
+
+    A status arrives after a random delay of less than `max_delay_us`.
+    """
 
     def __init__(
-        self, count: int, seed: int = 1, slow: int = 800_000, **rules: float
+        self, count: int, seed: int = 1, max_delay_us: int = 800_000, **rules: float
     ) -> None:
         self.random = Random(seed)
-        self.slow = slow
+        self.max_delay_us = max_delay_us
         self.now = SECOND
         self.rules = replace(RemediationRules(quarantine_after_us=15 * SECOND), **rules)  # type: ignore[arg-type]
         self.nodes = {f"n{i}": self.node(f"n{i}") for i in range(count)}
-        self.mail: dict[tuple[str, str], tuple[int, StatusRecord]] = {}
+        self.in_transit: dict[tuple[str, str], tuple[int, StatusRecord]] = {}
         self.dead: set[str] = set()
         self.paused: set[str] = set()
-        self.side: dict[
-            str, int
-        ] = {}  # nodes of other sides neither hear nor hold each other alive
-        self.agents: dict[str, str] = {}  # "silent" or "old"; else they tell
-        self.truth: dict[str, VersionId] = {}  # what discovery tells to who asks
-        self.peers = True  # they hand over lines
-        self.most_out = 0
-        self.tell(VersionId("d", 1, "c1"))
+        self.side: dict[str, int] = {}  # nodes of different sides are partitioned
+        self.agents: dict[str, str] = {}  # "silent" or "old"; all others work
+        self.published: dict[str, VersionId] = {}  # the current version by origin
+        self.peers_respond = True  # whether peers answer requests
+        self.max_quarantined = 0
+        self.publish(VersionId("d", 1, "c1"))
 
     def node(self, name: str) -> Node:
         offset = self.random.randrange(10**12)
@@ -74,198 +75,206 @@
             offset,
         )
 
-    def tell(self, held: VersionId, *names: str) -> None:
-        """Discovery tells a version to all whose agent works, or to these alone."""
+    def publish(self, held: VersionId, *names: str) -> None:
+        """Discovery publishes a version to all nodes whose agent works, or only to the named ones."""
         if not names:
-            self.truth[held.origin] = held
+            self.published[held.origin] = held
         for name in names or [n for n in self.nodes if n not in self.agents]:
             node = self.nodes[name]
-            node.lists = append_version(node.lists, held)
-            node.own = replace(
-                node.own,
+            node.list_versions = append_version(node.list_versions, held)
+            node.local = replace(
+                node.local,
                 list_version=held,
-                discovery_answered_at=self.now + node.offset,
+                discovery_answered_at=self.now + node.clock_offset,
             )
 
     def run(self, seconds: float) -> None:
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += TICK
-            for way, (at, word) in list(self.mail.items()):
+            for way, (at, status) in list(self.in_transit.items()):
                 if at <= self.now and way[1] not in self.paused:
-                    del self.mail[way]
-                    self.nodes[way[1]].heard[way[0]] = word
+                    del self.in_transit[way]
+                    self.nodes[way[1]].statuses[way[0]] = status
             for name, node in self.nodes.items():
                 if name not in self.dead | self.paused:
                     self.tick(node)
-            out = [
+            quarantined = [
                 n
                 for n in self.nodes.values()
-                if n.mender.quarantine.state == QuarantineState.QUARANTINED
+                if n.remediator.quarantine.state == QuarantineState.QUARANTINED
             ]
-            self.most_out = max(self.most_out, len(out))
+            self.max_quarantined = max(self.max_quarantined, len(quarantined))
 
     def tick(self, node: Node) -> None:
-        now = self.now + node.offset
+        now = self.now + node.clock_offset
         live = [
             n
             for n in self.nodes
             if n not in self.dead and self.side.get(n) == self.side.get(node.name)
         ]
-        node.heard[node.name] = self.word(node)
-        node.picture = node.view.observe(
-            now, live, {n: ReceivedStatus(w) for n, w in node.heard.items()}
+        node.statuses[node.name] = self.status(node)
+        node.view = node.observer.observe(
+            now, live, {n: ReceivedStatus(w) for n, w in node.statuses.items()}
         )
-        for deed in node.mender.update(now, node.picture, node.own):
-            node.deeds.append((self.now, deed))
-            self.do(node, deed, now)
-        word = self.word(node)
-        if word != node.sent:
-            node.sent = word
-            body = encode(word)
+        for action in node.remediator.update(now, node.view, node.local):
+            node.actions.append((self.now, action))
+            self.perform(node, action, now)
+        status = self.status(node)
+        if status != node.sent:
+            node.sent = status
+            body = encode(status)
             assert len(body) <= 1_000
             for to in live:
-                at = self.now + self.random.randrange(self.slow)
-                self.mail[node.name, to] = (at, decode(body) or word)
+                at = self.now + self.random.randrange(self.max_delay_us)
+                self.in_transit[node.name, to] = (at, decode(body) or status)
 
-    def word(self, node: Node) -> StatusRecord:
-        m, known = node.mender, node.picture.known_count if node.picture else 0
+    def status(self, node: Node) -> StatusRecord:
+        remediator, known = node.remediator, node.view.known_count if node.view else 0
         return StatusRecord(
-            list_versions=node.lists,
-            adopted=node.own.adopted,
+            list_versions=node.list_versions,
+            adopted=node.local.adopted,
             known_members=known,
-            step=m.step,
-            quarantine=m.quarantine.state,
-            slot=m.quarantine.slot,
-            request_number=m.quarantine.request_number,
-            votes=m.ballots(),
+            step=remediator.step,
+            quarantine=remediator.quarantine.state,
+            slot=remediator.quarantine.slot,
+            request_number=remediator.quarantine.request_number,
+            votes=remediator.ballots(),
         )
 
-    def do(self, node: Node, deed: Remediation, now: int) -> None:
+    def perform(self, node: Node, action: Remediation, now: int) -> None:
         agent = self.agents.get(node.name)
-        if deed.kind == RemediationKind.POLL_DISCOVERY and agent == "old":
-            node.own = replace(node.own, discovery_answered_at=now)
-        elif deed.kind == RemediationKind.POLL_DISCOVERY and agent is None:
-            truth = self.truth.get(node.lists[-1].origin if node.lists else "d")
-            if truth is not None:
-                self.tell(truth, node.name)
-        elif deed.kind == RemediationKind.REQUEST_FROM_PEER and self.peers:
-            held = self.nodes[deed.member].lists[-1]
-            if deed.target == held:
-                node.own = replace(node.own, adopted=held)
-        elif deed.kind == RemediationKind.QUARANTINE:
-            node.mender.quarantine_decided(now, True)
-
-    def states(self, name: str) -> set[HealthState]:
-        """What all others hold of one node."""
+        if action.kind == RemediationKind.POLL_DISCOVERY and agent == "old":
+            node.local = replace(node.local, discovery_answered_at=now)
+        elif action.kind == RemediationKind.POLL_DISCOVERY and agent is None:
+            version = self.published.get(
+                node.list_versions[-1].origin if node.list_versions else "d"
+            )
+            if version is not None:
+                self.publish(version, node.name)
+        elif action.kind == RemediationKind.REQUEST_FROM_PEER and self.peers_respond:
+            held = self.nodes[action.member].list_versions[-1]
+            if action.target == held:
+                node.local = replace(node.local, adopted=held)
+        elif action.kind == RemediationKind.QUARANTINE:
+            node.remediator.quarantine_decided(now, True)
+
+    def observed_states(self, name: str) -> set[HealthState]:
+        """The states in which all other live nodes observe one node."""
         return {
-            n.picture.health[name].state
+            n.view.health[name].state
             for n in self.nodes.values()
-            if n.name not in self.dead | {name}
-            and n.picture
-            and name in n.picture.health
+            if n.name not in self.dead | {name} and n.view and name in n.view.health
         }
 
-    def out(self) -> list[str]:
+    def quarantined(self) -> list[str]:
         return [
             n.name
             for n in self.nodes.values()
-            if n.mender.quarantine.state == QuarantineState.QUARANTINED
+            if n.remediator.quarantine.state == QuarantineState.QUARANTINED
         ]
 
-    def did(self, name: str, do: RemediationKind) -> list[float]:
-        return [at / SECOND for at, deed in self.nodes[name].deeds if deed.kind == do]
+    def action_times(self, name: str, kind: RemediationKind) -> list[float]:
+        return [
+            at / SECOND
+            for at, action in self.nodes[name].actions
+            if action.kind == kind
+        ]
 
 
-def settled(count: int, **more: float) -> World:
+def settled_world(count: int, **more: float) -> World:
     world = World(count, **more)  # type: ignore[arg-type]
     world.run(12)
     for name in world.nodes:
-        assert world.states(name) == {HealthState.CURRENT}
+        assert world.observed_states(name) == {HealthState.CURRENT}
     return world
 
 
-def test_a_node_whose_agent_falls_silent_is_known_to_all_and_brings_itself_up() -> None:
-    world = settled(8)
-    world.tell(VersionId("d", 1, "c1"), "n3")  # the last that it says
+def test_a_node_with_a_silent_agent_is_detected_by_all_and_catches_up_from_peers() -> (
+    None
+):
+    world = settled_world(8)
+    world.publish(VersionId("d", 1, "c1"), "n3")  # the agent's last answer
     world.agents["n3"] = "silent"
     silent = world.now
     world.run(2)
-    world.tell(VersionId("d", 2, "c2"))
+    world.publish(VersionId("d", 2, "c2"))
     moved = world.now
     world.run(4.5)
-    assert world.states("n3") == {HealthState.STRAGGLER}
-    assert world.states("n4") == {HealthState.CURRENT}
+    assert world.observed_states("n3") == {HealthState.STRAGGLER}
+    assert world.observed_states("n4") == {HealthState.CURRENT}
     world.run(10)
     node = world.nodes["n3"]
-    assert node.own.adopted == VersionId("d", 2, "c2")
-    asked = world.did("n3", RemediationKind.REQUEST_FROM_PEER)[0] * SECOND
+    assert node.local.adopted == VersionId("d", 2, "c2")
+    asked = world.action_times("n3", RemediationKind.REQUEST_FROM_PEER)[0] * SECOND
     assert asked - max(silent + 6 * SECOND, moved + 2.5 * SECOND) <= 2 * SECOND
-    assert asked >= silent + 5.7 * SECOND  # not before its own clock of silence
-    assert world.states("n3") == {HealthState.CURRENT}
-    assert world.most_out == 0
-    # It knows now that its discovery is silent: the next change needs no second clock.
-    world.tell(VersionId("d", 3, "c3"))
+    assert asked >= silent + 5.7 * SECOND  # not before its own silence deadline
+    assert world.observed_states("n3") == {HealthState.CURRENT}
+    assert world.max_quarantined == 0
+    # It knows now that its discovery is silent: for the next change it does not wait for it again.
+    world.publish(VersionId("d", 3, "c3"))
     moved = world.now
     world.run(3)
-    assert node.own.adopted == VersionId("d", 3, "c3")
+    assert node.local.adopted == VersionId("d", 3, "c3")
 
 
-def test_an_agent_that_repeats_an_old_version_for_ever_is_passed_by() -> None:
-    world = settled(6)
+def test_an_agent_that_keeps_sending_an_old_version_is_bypassed() -> None:
+    world = settled_world(6)
     world.agents["n2"] = "old"
-    world.tell(VersionId("d", 2, "c2"))
+    world.publish(VersionId("d", 2, "c2"))
     world.run(8)
-    assert world.did("n2", RemediationKind.POLL_DISCOVERY)  # first it asks its own
-    assert world.nodes["n2"].own.adopted == VersionId("d", 2, "c2")
-    assert world.nodes["n2"].own.list_version == VersionId(
+    assert world.action_times(
+        "n2", RemediationKind.POLL_DISCOVERY
+    )  # its own discovery first
+    assert world.nodes["n2"].local.adopted == VersionId("d", 2, "c2")
+    assert world.nodes["n2"].local.list_version == VersionId(
         "d", 1, "c1"
-    )  # what it was told stays told
-    world.tell(VersionId("d", 3, "c3"))  # and it is not waited for again
+    )  # its own discovery's version is kept
+    world.publish(VersionId("d", 3, "c3"))  # the discovery is not waited for again
     world.run(2.5)
-    assert world.nodes["n2"].own.adopted == VersionId("d", 3, "c3")
+    assert world.nodes["n2"].local.adopted == VersionId("d", 3, "c3")
 
 
 def test_other_agents_are_asked_before_peers() -> None:
     world = World(5, agents=2)
     world.run(12)
     world.agents["n1"] = "silent"
-    world.tell(VersionId("d", 2, "c2"))
+    world.publish(VersionId("d", 2, "c2"))
     world.run(20)
     agents, peers = (
-        world.did("n1", RemediationKind.REQUEST_FROM_AGENT),
-        world.did("n1", RemediationKind.REQUEST_FROM_PEER),
+        world.action_times("n1", RemediationKind.REQUEST_FROM_AGENT),
+        world.action_times("n1", RemediationKind.REQUEST_FROM_PEER),
     )
     assert len(agents) == 2
     assert max(agents) < peers[0]
 
 
-def test_one_that_claims_a_billion_moves_nothing() -> None:
-    world = settled(5)
-    world.tell(VersionId("d", 10**9, "x"), "n4")
+def test_a_single_member_with_version_one_billion_does_not_move_the_frontier() -> None:
+    world = settled_world(5)
+    world.publish(VersionId("d", 10**9, "x"), "n4")
     world.run(20)
     for node in world.nodes.values():
-        assert node.picture is not None
-        assert node.picture.frontiers["d"].number == 1
-    assert world.states("n4") == {HealthState.UNKNOWN}
-    assert {world.states(n).pop() for n in ("n0", "n1", "n2", "n3")} == {
+        assert node.view is not None
+        assert node.view.frontiers["d"].number == 1
+    assert world.observed_states("n4") == {HealthState.UNKNOWN}
+    assert {world.observed_states(n).pop() for n in ("n0", "n1", "n2", "n3")} == {
         HealthState.CURRENT
     }
     assert not [
         d
         for n in world.nodes.values()
-        for d in world.did(n.name, RemediationKind.REQUEST_FROM_PEER)
+        for d in world.action_times(n.name, RemediationKind.REQUEST_FROM_PEER)
     ]
 
 
-def test_one_that_claims_a_billion_does_not_even_lend_its_weight_to_another() -> None:
+def test_an_unconfirmed_version_does_not_support_lower_versions_of_others() -> None:
     held = {
         "a": (VersionId("d", 4, "c4"), VersionId("d", 5, "c5")),
         "b": (VersionId("d", 4, "c4"),),
         "c": (VersionId("d", 4, "c4"), VersionId("d", 10**9, "x")),
     }
-    words = {n: StatusRecord(list_versions=lists) for n, lists in held.items()}
-    frontier = find_frontier("d", words, 2, 3)
+    statuses = {n: StatusRecord(list_versions=lists) for n, lists in held.items()}
+    frontier = find_frontier("d", statuses, 2, 3)
     assert frontier is not None
     assert (
         frontier.number,
@@ -274,162 +283,168 @@
     ) == (4, "c4", 3)
 
 
-def test_a_list_in_halves_is_said_and_nobody_is_shut_out() -> None:
-    world = settled(8, max_quarantined_ratio=0.5)
-    world.tell(VersionId("d", 2, "left"), *(f"n{i}" for i in range(4)))
-    world.tell(VersionId("d", 2, "right"), *(f"n{i}" for i in range(4, 8)))
+def test_a_list_with_two_contents_is_contested_and_no_node_is_quarantined() -> None:
+    world = settled_world(8, max_quarantined_ratio=0.5)
+    world.publish(VersionId("d", 2, "left"), *(f"n{i}" for i in range(4)))
+    world.publish(VersionId("d", 2, "right"), *(f"n{i}" for i in range(4, 8)))
     world.run(60)
-    assert {s for n in world.nodes for s in world.states(n)} == {HealthState.UNKNOWN}
-    assert all(
-        n.picture and n.picture.frontiers["d"].contested for n in world.nodes.values()
-    )
-    assert world.most_out == 0
+    assert {s for n in world.nodes for s in world.observed_states(n)} == {
+        HealthState.UNKNOWN
+    }
+    assert all(n.view and n.view.frontiers["d"].contested for n in world.nodes.values())
+    assert world.max_quarantined == 0
 
 
-def test_one_that_holds_other_content_under_the_same_number_has_diverged() -> None:
-    world = settled(7)
-    world.tell(VersionId("d", 2, "good"), *(f"n{i}" for i in range(6)))
-    world.tell(VersionId("d", 2, "bad"), "n6")
+def test_a_member_with_other_content_under_the_same_number_has_diverged() -> None:
+    world = settled_world(7)
+    world.publish(VersionId("d", 2, "good"), *(f"n{i}" for i in range(6)))
+    world.publish(VersionId("d", 2, "bad"), "n6")
     world.agents["n6"] = "old"
     world.run(3)
-    assert world.states("n6") == {HealthState.DIVERGED}
+    assert world.observed_states("n6") == {HealthState.DIVERGED}
     world.run(12)
-    assert world.nodes["n6"].own.adopted == VersionId("d", 2, "good")
-    assert world.states("n6") == {HealthState.CURRENT}
+    assert world.nodes["n6"].local.adopted == VersionId("d", 2, "good")
+    assert world.observed_states("n6") == {HealthState.CURRENT}
 
 
-def test_a_discovery_moved_on_half_of_the_nodes_makes_no_stragglers() -> None:
-    world = settled(8, max_quarantined_ratio=0.5)
-    world.tell(VersionId("d", 900, "c2"), *(f"n{i}" for i in range(4)))
-    world.tell(VersionId("elsewhere", 3, "c2"), *(f"n{i}" for i in range(4, 8)))
+def test_a_new_discovery_origin_on_half_of_the_nodes_makes_no_stragglers() -> None:
+    world = settled_world(8, max_quarantined_ratio=0.5)
+    world.publish(VersionId("d", 900, "c2"), *(f"n{i}" for i in range(4)))
+    world.publish(VersionId("elsewhere", 3, "c2"), *(f"n{i}" for i in range(4, 8)))
     world.run(40)
-    assert {s for n in world.nodes for s in world.states(n)} == {HealthState.CURRENT}
+    assert {s for n in world.nodes for s in world.observed_states(n)} == {
+        HealthState.CURRENT
+    }
     world.agents["n7"] = "silent"
-    world.tell(
+    world.publish(
         VersionId("elsewhere", 4, "c3"), "n4", "n5", "n6"
     )  # each origin has a frontier of its own
     world.run(4.5)
-    assert HealthState.STRAGGLER in world.states("n7")
-    assert world.states("n0") == {HealthState.CURRENT}
+    assert HealthState.STRAGGLER in world.observed_states("n7")
+    assert world.observed_states("n0") == {HealthState.CURRENT}
 
 
-def test_a_node_that_stood_still_asks_at_once_and_judges_nobody_until_it_has_heard() -> (
+def test_a_suspended_node_polls_at_once_and_reports_no_stragglers_until_it_has_settled() -> (
     None
 ):
-    world = settled(5)
+    world = settled_world(5)
     world.paused.add("n2")
     world.run(2)
-    world.truth["d"] = VersionId("d", 2, "c2")
-    world.tell(world.truth["d"], "n0", "n1", "n3", "n4")
+    world.published["d"] = VersionId("d", 2, "c2")
+    world.publish(world.published["d"], "n0", "n1", "n3", "n4")
     world.run(3)
     world.paused.clear()
     woke = world.now / SECOND
     world.run(0.5)
-    assert [at for at in world.did("n2", RemediationKind.POLL_DISCOVERY) if at >= woke][
-        0
-    ] - woke < 0.5
-    picture = world.nodes["n2"].picture
-    assert picture is not None
-    assert not picture.settled
-    assert not picture.members_in(HealthState.STRAGGLER)
+    assert [
+        at
+        for at in world.action_times("n2", RemediationKind.POLL_DISCOVERY)
+        if at >= woke
+    ][0] - woke < 0.5
+    view = world.nodes["n2"].view
+    assert view is not None
+    assert not view.settled
+    assert not view.members_in(HealthState.STRAGGLER)
     world.run(5)
-    assert world.states("n2") == {HealthState.CURRENT}
+    assert world.observed_states("n2") == {HealthState.CURRENT}
 
 
-def test_a_flapping_straggler_is_held_back_longer_each_time_and_never_shut_out() -> (
+def test_a_flapping_straggler_dwells_longer_each_time_and_is_never_quarantined() -> (
     None
 ):
-    world = settled(10)
-    marks = []
+    world = settled_world(10)
+    recovery_s = []
     for number in range(2, 9):
         world.agents["n5"] = "old"
-        world.peers = False
-        world.tell(VersionId("d", number, f"c{number}"))
+        world.peers_respond = False
+        world.publish(VersionId("d", number, f"c{number}"))
         world.run(4)
         del world.agents["n5"]
-        world.tell(VersionId("d", number, f"c{number}"), "n5")
+        world.publish(VersionId("d", number, f"c{number}"), "n5")
         back = world.now
-        while world.states("n5") != {HealthState.CURRENT}:
+        while world.observed_states("n5") != {HealthState.CURRENT}:
             world.run(0.25)
-        marks.append((world.now - back) / SECOND)
-    assert marks[0] < 4
-    assert marks[3] > 2 * marks[0]
-    assert max(marks) < 20
-    assert world.most_out == 0
+        recovery_s.append((world.now - back) / SECOND)
+    assert recovery_s[0] < 4
+    assert recovery_s[3] > 2 * recovery_s[0]
+    assert max(recovery_s) < 20
+    assert world.max_quarantined == 0
 
 
-def test_a_third_that_is_stale_at_once_keeps_to_the_cap() -> None:
-    # Nothing brings them up: no agent, no peer. Two of ten may be out, and not one more at any moment.
+def test_the_quarantine_limit_holds_while_a_third_of_the_nodes_is_outdated() -> None:
+    # No agent and no peer lets them catch up. Two of twelve may be quarantined, never more.
     for seed in range(2):
         world = World(12, seed, max_quarantined_ratio=0.2)
         world.run(12)
         for name in ("n1", "n4", "n7", "n9"):
             world.agents[name] = "silent"
-        world.peers = False
-        world.tell(VersionId("d", 2, "c2"))
+        world.peers_respond = False
+        world.publish(VersionId("d", 2, "c2"))
         world.run(60)
-        assert world.most_out == 2, f"seed {seed}"
-        assert set(world.out()) <= {"n1", "n4", "n7", "n9"}
-        world.peers = True  # and they come in again once they hold the frontier
+        assert world.max_quarantined == 2, f"seed {seed}"
+        assert set(world.quarantined()) <= {"n1", "n4", "n7", "n9"}
+        world.peers_respond = True  # they rejoin once they hold the frontier
         world.run(60)
-        assert not world.out()
+        assert not world.quarantined()
 
 
-def test_the_cap_holds_while_words_take_seconds_and_the_fleet_falls_apart_and_heals() -> (
+def test_the_quarantine_limit_holds_with_slow_statuses_and_through_a_partition() -> (
     None
 ):
     for seed in range(2):
         world = World(
-            15, seed, slow=4 * SECOND, max_quarantined_ratio=0.14
-        )  # two of fifteen
+            15, seed, max_delay_us=4 * SECOND, max_quarantined_ratio=0.14
+        )  # two of fifteen nodes
         world.run(20)
         for name in ("n0", "n3", "n6", "n9", "n12"):
             world.agents[name] = "silent"
-        world.peers = False
-        world.tell(VersionId("d", 2, "c2"))
+        world.peers_respond = False
+        world.publish(VersionId("d", 2, "c2"))
         world.run(30)
         world.side = {f"n{i}": 1 for i in range(6)}
         world.run(60)
-        minority = set(world.side) & set(world.out())
-        assert not minority, f"seed {seed}: a minority shut out {minority}"
+        minority = set(world.side) & set(world.quarantined())
+        assert not minority, f"seed {seed}: a minority quarantined {minority}"
         world.side = {}
         world.run(60)
-        assert world.most_out <= 2, f"seed {seed}"
+        assert world.max_quarantined <= 2, f"seed {seed}"
 
 
-def test_who_is_out_and_cut_off_still_counts() -> None:
+def test_a_quarantined_node_in_another_partition_still_occupies_its_slot() -> None:
     world = World(14, max_quarantined_ratio=0.1, no_majority_us=600 * SECOND)
     world.run(12)
     world.agents = dict.fromkeys(("n1", "n2"), "silent")
-    world.peers = False
-    world.tell(VersionId("d", 2, "c2"))
+    world.peers_respond = False
+    world.publish(VersionId("d", 2, "c2"))
     world.run(45)
-    assert len(world.out()) == 1
-    world.side = dict.fromkeys((world.out()[0], "n11", "n12", "n13"), 1)
+    assert len(world.quarantined()) == 1
+    world.side = dict.fromkeys((world.quarantined()[0], "n11", "n12", "n13"), 1)
     world.run(60)
-    assert len(world.out()) == 1 == world.most_out  # as nobody says that it has come in
+    assert (
+        len(world.quarantined()) == 1 == world.max_quarantined
+    )  # no status reports that it has rejoined
 
 
-def test_nobody_is_shut_out_before_all_has_been_tried() -> None:
+def test_no_node_is_quarantined_before_all_catch_up_steps_were_tried() -> None:
     world = World(10, max_quarantined_ratio=0.2, max_rounds=1_000)
     world.run(12)
     world.agents = {"n1": "silent"}
-    world.peers = False
-    world.tell(VersionId("d", 2, "c2"))
+    world.peers_respond = False
+    world.publish(VersionId("d", 2, "c2"))
     world.run(60)
-    assert world.most_out == 0
-    assert world.states("n1") == {HealthState.STRAGGLER}
+    assert world.max_quarantined == 0
+    assert world.observed_states("n1") == {HealthState.STRAGGLER}
 
 
-def test_a_minority_judges_its_own_side_says_so_and_shuts_out_nobody() -> None:
-    world = settled(9, max_quarantined_ratio=0.5)
+def test_a_minority_evaluates_its_own_side_and_quarantines_no_node() -> None:
+    world = settled_world(9, max_quarantined_ratio=0.5)
     world.side = dict.fromkeys(("n0", "n1", "n2"), 1)
     world.run(1)
     world.agents = dict.fromkeys(("n2", "n8"), "silent")
-    world.peers = False
-    world.tell(VersionId("d", 2, "c2"))
+    world.peers_respond = False
+    world.publish(VersionId("d", 2, "c2"))
     world.run(60)
-    small, large = world.nodes["n0"].picture, world.nodes["n5"].picture
+    small, large = world.nodes["n0"].view, world.nodes["n5"].view
     assert small is not None
     assert (small.side, small.quorum) == ("minority", 2)
     assert small.health["n2"].state == HealthState.STRAGGLER
@@ -438,74 +453,84 @@
         "majority",
         3,
     )
-    assert world.out() == ["n8"]
+    assert world.quarantined() == ["n8"]
 
 
-def test_too_few_ready_nodes_keep_a_straggler_in_and_let_one_that_is_out_in() -> None:
+def test_too_few_ready_nodes_prevent_quarantine_and_end_it() -> None:
     world = World(8, max_quarantined_ratio=0.25, min_ready=7)
     world.run(12)
     world.agents = dict.fromkeys(("n1", "n2"), "silent")
-    world.peers = False
-    world.tell(VersionId("d", 2, "c2"))
+    world.peers_respond = False
+    world.publish(VersionId("d", 2, "c2"))
     world.run(60)
-    assert len(world.out()) == 1 == world.most_out  # the share would let two
-    assert max(len(n.mender.voter.votes) for n in world.nodes.values()) == 1
+    assert (
+        len(world.quarantined()) == 1 == world.max_quarantined
+    )  # the ratio alone would allow two
+    assert max(len(n.remediator.voter.votes) for n in world.nodes.values()) == 1
     world.dead.add("n7")
     world.run(3)
-    assert not world.out()
+    assert not world.quarantined()
 
 
-def test_a_bad_list_that_everybody_holds_shuts_out_nobody() -> None:
-    world = settled(10, max_quarantined_ratio=0.5)
-    world.tell(VersionId("d", 2, "empty"))
+def test_a_bad_list_that_all_members_hold_quarantines_no_node() -> None:
+    world = settled_world(10, max_quarantined_ratio=0.5)
+    world.publish(VersionId("d", 2, "empty"))
     world.run(60)
-    assert {s for n in world.nodes for s in world.states(n)} == {HealthState.CURRENT}
-    assert world.most_out == 0
+    assert {s for n in world.nodes for s in world.observed_states(n)} == {
+        HealthState.CURRENT
+    }
+    assert world.max_quarantined == 0
 
 
-def test_most_that_are_stale_do_not_shut_out_those_that_are_ahead() -> None:
-    world = settled(10, max_quarantined_ratio=0.5)
+def test_an_outdated_majority_does_not_quarantine_members_that_are_ahead() -> None:
+    world = settled_world(10, max_quarantined_ratio=0.5)
     for i in range(7):
         world.agents[f"n{i}"] = "silent"
-    world.tell(VersionId("d", 2, "c2"))
+    world.publish(VersionId("d", 2, "c2"))
     world.run(60)
-    assert world.most_out == 0
-    assert HealthState.STRAGGLER not in world.states("n8") | world.states("n9")
+    assert world.max_quarantined == 0
+    assert HealthState.STRAGGLER not in world.observed_states(
+        "n8"
+    ) | world.observed_states("n9")
 
 
-def test_one_without_a_word_is_silent_and_counts_in_the_quorum() -> None:
-    world = settled(5)
-    world.nodes["n9"] = replace(world.node("n9"), lists=())
+def test_a_member_without_a_status_is_silent_and_counts_in_the_quorum() -> None:
+    world = settled_world(5)
+    world.nodes["n9"] = replace(world.node("n9"), list_versions=())
     world.paused.add("n9")
     world.run(15)
-    assert world.states("n9") == {HealthState.SILENT}
-    picture = world.nodes["n0"].picture
-    assert picture is not None
-    assert picture.quorum == 4
+    assert world.observed_states("n9") == {HealthState.SILENT}
+    view = world.nodes["n0"].view
+    assert view is not None
+    assert view.quorum == 4
 
 
-def test_numbers_that_begin_anew_at_the_same_origin_make_nobody_a_straggler() -> None:
-    world = settled(5)
-    world.tell(VersionId("d", 70, "c70"))
+def test_a_restarted_numbering_of_an_origin_makes_no_stragglers() -> None:
+    world = settled_world(5)
+    world.publish(VersionId("d", 70, "c70"))
     world.run(3)
-    world.truth["d"] = VersionId("d", 1, "c1")
-    world.tell(VersionId("d", 1, "c1"), "n0", "n1", "n2")
+    world.published["d"] = VersionId("d", 1, "c1")
+    world.publish(VersionId("d", 1, "c1"), "n0", "n1", "n2")
     world.run(3)
-    assert world.states("n4") == {HealthState.CURRENT}  # ahead, until it hears as well
-    world.tell(VersionId("d", 1, "c1"), "n3", "n4")
+    assert world.observed_states("n4") == {
+        HealthState.CURRENT
+    }  # ahead, until it receives the new numbering
+    world.publish(VersionId("d", 1, "c1"), "n3", "n4")
     world.run(3)
-    assert {s for n in world.nodes for s in world.states(n)} == {HealthState.CURRENT}
+    assert {s for n in world.nodes for s in world.observed_states(n)} == {
+        HealthState.CURRENT
+    }
     world.agents["n4"] = "silent"
-    world.tell(VersionId("d", 2, "c2"))
+    world.publish(VersionId("d", 2, "c2"))
     world.run(1)
-    assert HealthState.STRAGGLER not in world.states(
+    assert HealthState.STRAGGLER not in world.observed_states(
         "n4"
-    )  # that the number was passed long ago says nothing
+    )  # the old numbering's frontier passed 1 long ago, which does not count
 
 
 @pytest.mark.parametrize(
     "body",
     [b"", b"\xc1", b"\x93\x01", encode(StatusRecord(format_version=9)), b"x" * 999],
 )
-def test_a_word_that_cannot_be_read_is_none(body: bytes) -> None:
+def test_a_status_that_cannot_be_read_decodes_to_none(body: bytes) -> None:
     assert decode(body) is None
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -12,8 +12,8 @@
 import msgspec
 import pytest
 from loopback import Bench, Server, play, until
-from test_audit import NEXT, Net, close, fleet
-from test_audit import QUICK as QUICK_AUDIT
+from test_audit import FAST_TABLE as QUICK_AUDIT
+from test_audit import NEXT_LIST, FakeNetwork, close, fleet
 from test_members import asked, node_with
 
 from loadbalancer.audit.fleet_view import HealthState
@@ -128,11 +128,11 @@
 ):
     async def scene() -> None:
         wished = {"out_after_s": 0.5, "out_share_percent": 25.0, "in_after_s": 30.0}
-        hosts = await fleet(Net(), **wished)
+        hosts = await fleet(FakeNetwork(), **wished)
         for host in hosts:
-            host.part.context.judge.remediator.update_rules(
+            host.feature.context.judge.remediator.update_rules(
                 replace(
-                    host.part.context.judge.remediator.rules,
+                    host.feature.context.judge.remediator.rules,
                     vote_embargo_us=0,
                     min_request_age_us=300_000,
                     max_rounds=1,
@@ -140,35 +140,39 @@
             )
         behind = hosts[3]
         for host in hosts[:3]:
-            host.told(2, NEXT)
-            host.part.endpoint_exchange.channel = None  # nobody hands over anything
-        await until(lambda: behind.out is True)
+            host.receive_list(2, NEXT_LIST)
+            host.feature.endpoint_exchange.channel = None  # nobody hands over anything
+        await until(lambda: behind.quarantined is True)
         claims, entries = (
-            behind.part.context.judge.remediator.quarantine.request_number,
-            behind.part.ledger.state.entries,
+            behind.feature.context.judge.remediator.quarantine.request_number,
+            behind.feature.ledger.state.entries,
         )
         changed = {
             "audit": QUICK_AUDIT | wished,
             "membership": {},
             "cells": {"count": 2},
         }
-        behind.part.reload(build(changed, "operator.toml"))
-        assert behind.out is False
+        behind.feature.reload(build(changed, "operator.toml"))
+        assert behind.quarantined is False
         assert (
-            behind.part.context.judge.remediator.quarantine.state
+            behind.feature.context.judge.remediator.quarantine.state
             == QuarantineState.SERVING
         )
-        assert behind.part.context.judge.remediator.quarantine.request_number != claims
-        assert not behind.part.context.judge.remediator.voter.votes
-        assert behind.part.ledger.state.actions[-1].what == "let-in"
-        assert behind.part.ledger.state.entries > entries
-        await until(lambda: behind.part.view is not None and behind.part.view.settled)
-        before = behind.part.context.judge.observer
-        behind.part.reload(
+        assert (
+            behind.feature.context.judge.remediator.quarantine.request_number != claims
+        )
+        assert not behind.feature.context.judge.remediator.voter.votes
+        assert behind.feature.ledger.state.actions[-1].what == "let-in"
+        assert behind.feature.ledger.state.entries > entries
+        await until(
+            lambda: behind.feature.view is not None and behind.feature.view.settled
+        )
+        before = behind.feature.context.judge.observer
+        behind.feature.reload(
             build(changed | {"audit": QUICK_AUDIT | {"lag_s": 9.0}}, "operator.toml")
         )
         assert (
-            behind.part.context.judge.observer is before
+            behind.feature.context.judge.observer is before
         )  # the same cells: what was seen holds
         await close(hosts)
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""Places among the members that live: taken up once they stand still, the same way by all."""
+"""Ring positions among the live members: adopted once the members are unchanged, the same on all nodes."""
 
 from __future__ import annotations
 
@@ -22,68 +22,70 @@
 )
 
 RULES = SpreadRules(hold_us=1_000, stagger_us=500)
-LOOK = settings(derandomize=True, max_examples=100, deadline=None)
+PROPERTY_SETTINGS = settings(derandomize=True, max_examples=100, deadline=None)
 
 
-def test_a_place_is_taken_up_once_members_have_stood_still() -> None:
-    spread = RingPositionTracker("b", 7, RULES)
-    spread.update_members(0, ["a", "b", "c"])
-    assert spread.position(spread.delay_us - 1) is None
-    assert spread.position(spread.delay_us) == RingPosition(1, 3)
-    spread.update_members(10_000, ["b", "c"])
-    assert spread.position(10_000) == RingPosition(1, 3)  # the old one holds meanwhile
-    assert spread.position(10_000 + spread.delay_us) == RingPosition(0, 2)
+def test_a_position_is_adopted_once_the_members_are_unchanged() -> None:
+    tracker = RingPositionTracker("b", 7, RULES)
+    tracker.update_members(0, ["a", "b", "c"])
+    assert tracker.position(tracker.delay_us - 1) is None
+    assert tracker.position(tracker.delay_us) == RingPosition(1, 3)
+    tracker.update_members(10_000, ["b", "c"])
+    assert tracker.position(10_000) == RingPosition(
+        1, 3
+    )  # the old position is used meanwhile
+    assert tracker.position(10_000 + tracker.delay_us) == RingPosition(0, 2)
 
 
-def test_news_that_is_taken_back_moves_nothing() -> None:
-    spread = RingPositionTracker("b", 7, RULES)
-    spread.update_members(0, ["a", "b"])
-    spread.position(spread.delay_us)
-    spread.update_members(10_000, ["b", "c"])
-    spread.update_members(10_100, ["b", "a"])
-    assert spread.due_at() is None
-    assert spread.position(60_000) == RingPosition(1, 2)
+def test_a_change_that_is_reverted_does_not_move_the_position() -> None:
+    tracker = RingPositionTracker("b", 7, RULES)
+    tracker.update_members(0, ["a", "b"])
+    tracker.position(tracker.delay_us)
+    tracker.update_members(10_000, ["b", "c"])
+    tracker.update_members(10_100, ["b", "a"])
+    assert tracker.due_at() is None
+    assert tracker.position(60_000) == RingPosition(1, 2)
 
 
-def test_members_that_never_stand_still_are_taken_all_the_same() -> None:
-    spread = RingPositionTracker("b", 7, RULES)
+def test_members_that_never_stop_changing_are_adopted_eventually() -> None:
+    tracker = RingPositionTracker("b", 7, RULES)
     for i in range(100):
-        spread.update_members(i * 100, ["a", "b", f"x{i}"])
-        if spread.position(i * 100) is not None:
+        tracker.update_members(i * 100, ["a", "b", f"x{i}"])
+        if tracker.position(i * 100) is not None:
             break
-    assert i * 100 <= MAX_DELAYS * spread.delay_us + 100
+    assert i * 100 <= MAX_DELAYS * tracker.delay_us + 100
 
 
-def test_a_node_that_sees_nobody_else_keeps_to_the_platforms_word() -> None:
-    spread = RingPositionTracker("b", 7, RULES)
-    spread.update_members(0, ["a", "b"])
-    assert spread.position(spread.delay_us) == RingPosition(1, 2)
-    spread.update_members(10_000, [])
-    assert spread.position(30_000) is None
+def test_an_isolated_node_uses_the_platforms_position() -> None:
+    tracker = RingPositionTracker("b", 7, RULES)
+    tracker.update_members(0, ["a", "b"])
+    assert tracker.position(tracker.delay_us) == RingPosition(1, 2)
+    tracker.update_members(10_000, [])
+    assert tracker.position(30_000) is None
 
 
-@LOOK
+@PROPERTY_SETTINGS
 @given(
     st.sets(st.text("abcdefgh", min_size=1, max_size=3), min_size=2, max_size=40),
     st.randoms(),
 )
-def test_all_nodes_that_see_the_same_have_a_place_each(
+def test_nodes_that_see_the_same_members_have_distinct_positions(
     names: set[str], random: object
 ) -> None:
-    told = list(names)
-    places = set()
+    members = list(names)
+    indexes = set()
     for i, name in enumerate(sorted(names)):
-        random.shuffle(told)  # type: ignore[attr-defined]
-        spread = RingPositionTracker(name, shuffle(i, 1), RULES)
-        spread.update_members(0, told)
-        place = spread.position(RULES.hold_us + RULES.stagger_us)
-        assert place is not None
-        assert place.count == len(names)
-        places.add(place.index)
-    assert places == set(range(len(names)))
+        random.shuffle(members)  # type: ignore[attr-defined]
+        tracker = RingPositionTracker(name, shuffle(i, 1), RULES)
+        tracker.update_members(0, members)
+        position = tracker.position(RULES.hold_us + RULES.stagger_us)
+        assert position is not None
+        assert position.count == len(names)
+        indexes.add(position.index)
+    assert indexes == set(range(len(names)))
 
 
-def test_what_all_together_must_not_exceed_goes_by_instances_still() -> None:
+def test_a_ring_position_does_not_change_the_number_of_instances() -> None:
     classes = (
         RequestClass(
             Idempotency.IDEMPOTENT, latency_objective=1, deadline=2, priority_weight=1.0
@@ -98,51 +100,53 @@
         Settings(classes=classes, ring_position=(4, 4))
 
 
-def test_two_nodes_hear_each_others_rates_and_operators_may_end_that(
+def test_two_nodes_exchange_their_rates_until_operators_disable_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(weight_updates, "UPDATE_INTERVAL_S", 0.02)
     monkeypatch.setattr(rate_report, "MIN_MEASURED_US", 50_000)
 
-    def wish(weights: bool, *seeds: str) -> OperatorConfig:
+    def operator_config(weights: bool, *seeds: str) -> OperatorConfig:
         membership = {"listen": "127.0.0.1:0", "seeds": list(seeds)}
         return build(
             {"membership": membership, "spread": {"weights": weights}}, "operator.toml"
         )
 
-    async def scene() -> None:
+    async def run() -> None:
         one = (
-            await node_with(wish(True), peers=True, name="n1", control="127.0.0.1:0")
+            await node_with(
+                operator_config(True), peers=True, name="n1", control="127.0.0.1:0"
+            )
         ).node
         await until(lambda: one.members is not None and one.members.swim is not None)
         assert one.members is not None
         assert one.members.swim is not None
         seed = "{}:{}".format(*one.members.swim.local.address)
-        two = (await node_with(wish(True, seed), peers=True, name="n2")).node
+        two = (await node_with(operator_config(True, seed), peers=True, name="n2")).node
 
-        def told(node: Node) -> set[str]:
+        def reported_members(node: Node) -> set[str]:
             assert node.feature_host is not None
-            part = node.feature_host.features["spread"]
-            updates = part.weight_updates  # type: ignore[attr-defined]
+            feature = node.feature_host.features["spread"]
+            updates = feature.weight_updates  # type: ignore[attr-defined]
             return set(updates.reports) if updates is not None else set()
 
         await until(
             lambda: (
-                told(one) == told(two) == {"n1", "n2"}
+                reported_members(one) == reported_members(two) == {"n1", "n2"}
                 and one.balancer.selector.tie_ratio > 1
             )
         )
         assert (await asked(one, "/admin/stats"))[1]["spread"]["told"] == 2
-        two.reload(two.config, wish(False, seed))
-        await until(lambda: told(one) == {"n1"})
-        assert told(two) == set()
+        two.reload(two.config, operator_config(False, seed))
+        await until(lambda: reported_members(one) == {"n1"})
+        assert reported_members(two) == set()
         assert two.balancer.selector.tie_ratio == 1.0
-        two.reload(two.config, wish(True, seed))
+        two.reload(two.config, operator_config(True, seed))
         await until(
             lambda: (
-                told(one) == told(two) == {"n1", "n2"}
+                reported_members(one) == reported_members(two) == {"n1", "n2"}
                 and two.balancer.selector.tie_ratio > 1
             )
         )
 
-    play(scene)
+    play(run)
--- a/tests/test_spread_flow.py
+++ b/tests/test_spread_flow.py
@@ -1,4 +1,4 @@
-"""Weights from rates: the deciders, and what they do to the calls of many modules."""
+"""Weights computed from reported rates, and their effect on the calls of many nodes."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from loadbalancer.spread import weights as spread_weights
 from loadbalancer.spread.rate_report import RateMeter, RateReport, decode, rate_of
 
-LOOK = settings(derandomize=True, max_examples=100, deadline=None)
-S = 1_000_000
+PROPERTY_SETTINGS = settings(derandomize=True, max_examples=100, deadline=None)
+SECOND_US = 1_000_000
 
 
-def roster_of(servers: int, kinds: int = 1, zoned: bool = False) -> EndpointList:
-    roster = EndpointList(zoned, frozenset())
-    roster.begin()
+def endpoint_list_of(servers: int, kinds: int = 1, zoned: bool = False) -> EndpointList:
+    endpoint_list = EndpointList(zoned, frozenset())
+    endpoint_list.begin()
     for entry in listed(servers, kinds):
-        roster.put(entry)
-    roster.end()
-    return roster
+        endpoint_list.put(entry)
+    endpoint_list.end()
+    return endpoint_list
 
 
 def last(steps):
@@ -46,9 +46,9 @@
 
 
 def evenness(
-    roster: EndpointList, told: list[RateReport], weighted: bool = True
+    endpoint_list: EndpointList, reports: list[RateReport], weighted: bool = True
 ) -> float:
-    ids, table, found = factors(roster, told)
+    ids, table, found = factors(endpoint_list, reports)
     return of_all(
         last(
             spread_weights.expected_loads(
@@ -61,56 +61,57 @@
 @pytest.mark.parametrize(
     "nodes, servers", [(300, 40), (200, 200), (30, 24), (100, 300)]
 )
-def test_ten_to_one_is_evened_out_by_wider_subsets_and_weights(
+def test_wider_subsets_and_weights_even_out_rates_of_ten_to_one(
     nodes: int, servers: int
 ) -> None:
-    roster = roster_of(servers, kinds=2)
+    endpoint_list = endpoint_list_of(servers, kinds=2)
     for seed in (11, 12):
         rates = uneven(nodes, seed)
         both, narrow = words(rates, servers, True), words(rates, servers, False)
-        assert evenness(roster, both) < 1.1
+        assert evenness(endpoint_list, both) < 1.1
         assert (
-            evenness(roster, narrow) > evenness(roster, both) + 0.1
+            evenness(endpoint_list, narrow) > evenness(endpoint_list, both) + 0.1
         )  # without wider subsets
         assert (
-            evenness(roster, both, weighted=False) > evenness(roster, both) + 0.02
+            evenness(endpoint_list, both, weighted=False)
+            > evenness(endpoint_list, both) + 0.02
         )  # without weights
 
 
-def test_what_each_node_works_out_is_the_same_and_hangs_on_no_order() -> None:
-    words_ = words(uneven(60, 3), 50, True)
-    mixed = list(words_)
-    Random(1).shuffle(mixed)
-    one = dict(zip(*factors(roster_of(50), words_)[::2], strict=True))
-    other = dict(zip(*factors(roster_of(50), mixed)[::2], strict=True))
+def test_factors_do_not_depend_on_the_order_of_the_reports() -> None:
+    reports = words(uneven(60, 3), 50, True)
+    shuffled = list(reports)
+    Random(1).shuffle(shuffled)
+    one = dict(zip(*factors(endpoint_list_of(50), reports)[::2], strict=True))
+    other = dict(zip(*factors(endpoint_list_of(50), shuffled)[::2], strict=True))
     assert one.keys() == other.keys()
     assert all(abs(one[s] - other[s]) < 1e-9 for s in one)
 
 
-def test_wrong_places_are_told_and_so_evened_out_too() -> None:
-    """A node that believes half of the count, and two that claim one place, say so in their records."""
-    told = words(uneven(100, 5), 40, True)
+def test_wrong_positions_are_reported_and_evened_out_as_well() -> None:
+    """Nodes with half of the count, and two nodes with the same position, state that in their records."""
+    reports = words(uneven(100, 5), 40, True)
     wrong = [
         RateReport(t.rate, t.size, t.index // 2, 50) if i % 5 == 0 else t
-        for i, t in enumerate(told)
+        for i, t in enumerate(reports)
     ]
     wrong[7] = wrong[8]
-    assert evenness(roster_of(40), wrong) < 1.05
+    assert evenness(endpoint_list_of(40), wrong) < 1.05
 
 
-def test_too_few_that_have_told_make_no_weights() -> None:
-    told = {f"n{i}": RateReport(1.0, 4, i, 10) for i in range(4)}
+def test_too_few_reports_yield_no_weights() -> None:
+    received = {f"n{i}": RateReport(1.0, 4, i, 10) for i in range(4)}
     live = [f"n{i}" for i in range(10)]
-    assert spread_weights.completed_reports(live, told, 4) is None
+    assert spread_weights.completed_reports(live, received, 4) is None
     found = spread_weights.completed_reports(
-        live, told | {"n9": RateReport(5.0, 8, 9, 10)}, 4
+        live, received | {"n9": RateReport(5.0, 8, 9, 10)}, 4
     )
     assert found is not None
     assert found[9].rate == 5.0
     assert found[6] == RateReport(1.8, 4, 6, 10)
 
 
-@LOOK
+@PROPERTY_SETTINGS
 @given(
     st.dictionaries(
         st.integers(0, 20),
@@ -121,7 +122,7 @@
         st.floats(spread_weights.MIN_FACTOR, spread_weights.MAX_FACTOR),
     ),
 )
-def test_weights_move_without_a_jump_and_arrive(
+def test_weights_move_in_small_steps_and_reach_their_targets(
     now: dict[int, float], due: dict[int, float]
 ) -> None:
     for _ in range(60):
@@ -135,36 +136,36 @@
     )
 
 
-@LOOK
+@PROPERTY_SETTINGS
 @given(st.binary(max_size=20))
-def test_a_record_that_is_none_is_told_apart(body: bytes) -> None:
+def test_any_body_raises_or_decodes_to_a_valid_report(
+    body: bytes,
+) -> None:
     try:
-        told = decode(body)
+        report = decode(body)
     except ValueError:
         return
-    assert 0 <= told.index < told.count
-    assert told.rate >= 0
+    assert 0 <= report.index < report.count
+    assert report.rate >= 0
 
 
-def test_a_rate_is_told_in_steps_and_chance_is_no_news() -> None:
+def test_rates_are_reported_in_steps_and_random_variation_is_not() -> None:
     rng, total = Random(2), 0
     rate = RateMeter(0, 0)
-    told = [rate.update(S, 50)]
+    codes = [rate.update(SECOND_US, 50)]
     for second in range(2, 300):
-        total += sum(
-            rng.random() < 0.05 for _ in range(1000)
-        )  # 50 a second, more or less
-        told.append(rate.update(second * S, total))
-    assert told[0] == -1
-    assert sum(a != b for a, b in zip(told[5:], told[6:], strict=False)) <= 6
-    assert rate_of(told[-1]) == pytest.approx(50, rel=0.2)
+        total += sum(rng.random() < 0.05 for _ in range(1000))  # 50 a second on average
+        codes.append(rate.update(second * SECOND_US, total))
+    assert codes[0] == -1
+    assert sum(a != b for a, b in zip(codes[5:], codes[6:], strict=False)) <= 6
+    assert rate_of(codes[-1]) == pytest.approx(50, rel=0.2)
     for second in range(300, 340):
         total += 500
-        told.append(rate.update(second * S, total))
-    assert rate_of(told[-1]) == pytest.approx(500, rel=0.1)
+        codes.append(rate.update(second * SECOND_US, total))
+    assert rate_of(codes[-1]) == pytest.approx(500, rel=0.1)
 
 
-def test_weights_bias_the_draws_and_the_calls_even_out() -> None:
+def test_weights_bias_the_selection_and_even_the_calls_out() -> None:
     before = played(60, 20, "as it was", 2000.0, 4, 8.0)
     after = played(60, 20, "both", 2000.0, 4, 8.0)
     assert before[0] > 1.4
@@ -173,26 +174,26 @@
     assert after[1] < 1.7 * after[2]
 
 
-def test_weights_hold_for_members_that_come_later_and_end_when_replaced() -> None:
+def test_weights_apply_to_members_that_join_later_until_they_are_replaced() -> None:
     from loadbalancer.policy.balancer import Balancer
 
-    class Hands:
+    class FakeActions:
         def __init__(self) -> None:
             self.sent: list[int] = []
 
         def send(self, request: int, server: int, timeout: int) -> None:
             self.sent.append(server)
 
-    entries, hands = listed(6), Hands()
+    entries, actions = listed(6), FakeActions()
     classes = (
         RequestClass(
             Idempotency.IDEMPOTENT,
             latency_objective=200_000,
-            deadline=S,
+            deadline=SECOND_US,
             priority_weight=1.0,
         ),
     )
-    node = Balancer(Settings(classes), 1, hands)  # type: ignore[arg-type]
+    node = Balancer(Settings(classes), 1, actions)  # type: ignore[arg-type]
     node.start(0)
     node.update_weights(0, {entries[0].endpoint: 0.05})
     node.update_endpoints(0, ListUpdateKind.FULL, entries)
@@ -208,9 +209,7 @@
     assert 60 < drawn() < 140
 
 
-def test_nodes_that_tell_each_other_their_rates_even_the_load_out_and_events_make_no_herd() -> (
-    None
-):
+def test_reported_rates_even_the_load_out_and_list_changes_cause_no_overload() -> None:
     event = EVENTS["list changes twice"]
     assert told(Fleet(20, 16, 800.0, 3, weights=False), event)[0] > 1.5
     before, worst, later, most = told(Fleet(20, 16, 800.0, 3), event)
@@ -220,7 +219,7 @@
     assert most <= 16
 
 
-def test_who_is_cut_off_goes_back_to_equal_weights_step_by_step_and_who_stops_withdraws() -> (
+def test_an_isolated_node_returns_to_equal_weights_and_a_stopped_one_withdraws() -> (
     None
 ):
     fleet = Fleet(20, 16, 400.0, 3)
@@ -230,7 +229,7 @@
     assert min(site.weight_updates.weights.values()) < 0.9
     assert (
         sum(s.spread_members == 16 for s in fleet.sites) == 2
-    )  # the two busy ones use all servers
+    )  # the two busy nodes use all servers
     site.cut = True
     seen = []
     for _ in range(15):
@@ -245,17 +244,17 @@
     fleet.play(fleet.now + 2_000_000)
     assert (
         other.name not in fleet.sites[7].weight_updates.reports
-    )  # the mean holds for it
+    )  # it is assumed to have the mean rate
 
 
-def test_where_calls_keep_to_their_zone_each_zone_is_evened_out_by_itself() -> None:
-    roster = EndpointList(True, frozenset())
-    roster.begin()
+def test_each_zone_is_evened_out_separately_if_calls_stay_in_their_zone() -> None:
+    endpoint_list = EndpointList(True, frozenset())
+    endpoint_list.begin()
     for i, entry in enumerate(listed(30)):
-        roster.put(replace(entry, zone=i % 3))
-    roster.end()
-    words_ = words(uneven(30, 4), 10, True)
-    found = last(spread_weights.factors_by_server(roster, 1, words_))
-    assert {roster.endpoints[s].zone for s in found} == {1}
+        endpoint_list.put(replace(entry, zone=i % 3))
+    endpoint_list.end()
+    reports = words(uneven(30, 4), 10, True)
+    found = last(spread_weights.factors_by_server(endpoint_list, 1, reports))
+    assert {endpoint_list.endpoints[s].zone for s in found} == {1}
     assert len(found) == 10
     assert min(found.values()) < 0.95 < 1.05 < max(found.values())
