--- a/loadbalancer/freeze/coordinator.py
+++ b/loadbalancer/freeze/coordinator.py
@@ -17,7 +17,7 @@
 from loadbalancer.freeze.actions import FreezeEvent, Send
 from loadbalancer.freeze.coordinator_context import CoordinatorContext, RequestCounters
 from loadbalancer.freeze.elector import Elector
-from loadbalancer.freeze.evidence import Verdict
+from loadbalancer.freeze.evidence import IncidentDecision
 from loadbalancer.freeze.grants import Grants
 from loadbalancer.freeze.incidents import Incidents
 from loadbalancer.freeze.leader_term import LeaderTerm, take_committed
@@ -186,7 +186,7 @@
             return [self.context.redirect(sender)]
         return self.incidents.on_command(term, sender, command)
 
-    def on_verdict(self, now: int, verdict: Verdict, severity: int) -> None:
+    def on_verdict(self, now: int, verdict: IncidentDecision, severity: int) -> None:
         """Opens or closes an incident by evidence; sent at the next `tick`."""
         term = self.current_term(now)
         if term is not None:
--- a/loadbalancer/freeze/evidence.py
+++ b/loadbalancer/freeze/evidence.py
@@ -1,13 +1,13 @@
-"""Incidents by common evidence: what a quorum of nodes reports opens one, and its long absence closes it.
+"""Opens and closes incidents on the evidence that the nodes report.
 
-Each node counts the ends of its attempts over a window and publishes a report of the faults it sees
-(`FaultWitness`); the coordinator puts the members' reports together (`EvidenceJudge`). One node's report
-moves nothing: more than half of the live members must report at all, and more than half of those that can
-judge a fault, two at least, must see it. An incident opens once that has held for `confirm_us`. It closes
-once at most a quarter of them has seen the fault for the whole of `clear_us`, so an intermittent one stays
-open.
+Each node counts the results of its attempts over a window and publishes a report of the faults it observes
+(`FaultWitness`). The coordinator combines the reports of all members (`EvidenceEvaluator`). A single report
+never opens an incident: more than half of the live members must have reported, and of the nodes with enough
+data on a fault (at least two) more than half must observe it. The incident opens when this has been the case
+for `confirm_us`. It closes when at most a quarter of these nodes has observed the fault throughout
+`clear_us`, so the incident of an intermittent fault stays open.
 
-Pure: no I/O; times are monotonic microseconds from outside.
+This module does no I/O. All times are monotonic microseconds that the caller passes in.
 """
 
 from __future__ import annotations
@@ -18,30 +18,30 @@
 
 import msgspec
 
-KIND = "evidence"  # of the records that carry the reports
+RECORD_KIND = "evidence"  # kind of the published records that carry the reports
 MAX_ZONES = 24
 MAX_SERVERS = 4_096
 MIN_ATTEMPTS_PER_SERVER = 3
 MIN_ATTEMPTS_FOR_REJECTIONS = 30
-MIN_JUDGES = 2
-OPEN_RATIO = 0.5  # of the judges: above, the fault is there
-CLEAR_RATIO = 0.25  # at or below, it is gone
+MIN_OBSERVERS = 2  # nodes with enough data on a fault
+OPEN_RATIO = 0.5  # fraction of observers above which the fault is present
+CLEAR_RATIO = 0.25  # fraction of observers up to which the fault is absent
 TENTHS = 10
-UNKNOWN = -1
-ABSENT = 0  # stands for "not since any time"
+UNKNOWN = -1  # in place of tenths, with too few attempts
+NEVER = 0  # in place of a time
 
 
 @dataclass(frozen=True)
 class EvidenceRules:
-    """When reports make an incident.
+    """When nodes report a fault, and when reports open and close an incident.
 
     Attributes:
-        window_us: Attempts are judged over windows of this length.
-        zone_failure_ratio: A zone fails from this ratio of failing servers on.
-        rejection_ratio: Servers reject too much from this ratio of attempts on.
-        confirm_us: How long a fault must be seen before an incident opens.
-        clear_us: How long it must be gone before the incident closes.
-        severity: Severity of these incidents.
+        window_us: Length of the window over which a node counts attempts.
+        zone_failure_ratio: A zone fails if at least this fraction of its servers fails.
+        rejection_ratio: Servers are overloaded if they reject at least this fraction of attempts.
+        confirm_us: How long a fault must be present before an incident opens.
+        clear_us: How long a fault must be absent before its incident closes.
+        severity: Severity of these incidents, from 1 (minor) to 3 (critical).
     """
 
     window_us: int = 5_000_000
@@ -53,7 +53,7 @@
 
 
 class EndpointListVersion(NamedTuple):
-    """The endpoint list that a node acts on."""
+    """The endpoint list that a node uses: who issued it, its number there, and a digest of its content."""
 
     origin: str = ""
     number: int = 0
@@ -61,10 +61,14 @@
 
 
 class FaultReport(msgspec.Struct, array_like=True, frozen=True):
-    """A node's published report; in tenths, so that small differences make no new record.
+    """A node's published report.
 
-    `zone_failure_tenths` has by zone how many of the servers judged there fail; `rejected_tenths` how many
-    attempts servers rejected, UNKNOWN with too few attempts.
+    Fractions are in tenths, so that a small difference does not cause a new record to be published.
+
+    Attributes:
+        zone_failure_tenths: By zone, the fraction of its servers that fail, of those with enough attempts.
+        rejected_tenths: Fraction of attempts that servers rejected; UNKNOWN with too few attempts.
+        endpoint_list: Version of the endpoint list that the node uses.
     """
 
     zone_failure_tenths: dict[str, int] = {}
@@ -73,24 +77,24 @@
 
 
 def encode(report: FaultReport) -> bytes:
-    """Returns a record's body."""
+    """Encodes a report as the body of a record."""
     return msgspec.msgpack.encode(report)
 
 
 def decode(body: bytes) -> FaultReport | None:
-    """Reads the report in a record's body; None if it is none."""
+    """Decodes the report in a record's body; returns None if the body is malformed."""
     try:
         return msgspec.msgpack.decode(body, type=FaultReport)
     except msgspec.DecodeError:
         return None
 
 
-# ---- at each node -------------------------------------------------------------------------------------
+# ---- on each node -------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """Ends of attempts at one server within a window."""
+    """Results of the attempts at one server within a window."""
 
     succeeded: int = 0
     failed: int = 0
@@ -98,21 +102,21 @@
 
     @property
     def total(self) -> int:
-        """All attempts."""
+        """Number of all attempts."""
         return self.succeeded + self.failed + self.rejected
 
     @property
-    def judged(self) -> int:
-        """Attempts that tell whether the server fails."""
+    def conclusive(self) -> int:
+        """Number of attempts that show whether the server works; a rejection does not."""
         return self.succeeded + self.failed
 
 
 class FaultWitness:
-    """One node's attempts in the present window, and its report of the one before.
+    """Counts one node's attempts in the current window, and holds its report on the previous one.
 
     Attributes:
         zones: The zone of each server, set by the host.
-        window_ends_at: When the present window ends.
+        window_ends_at: When the current window ends, in monotonic microseconds.
     """
 
     def __init__(self, rules: EvidenceRules) -> None:
@@ -123,7 +127,11 @@
         self._report = FaultReport()
 
     def record_attempt(self, server: str, *, succeeded: bool, rejected: bool) -> None:
-        """An attempt has ended; one that neither succeeded nor was rejected has failed."""
+        """Counts a completed attempt.
+
+        An attempt that neither succeeded nor was rejected has failed. Attempts at further servers are ignored
+        once MAX_SERVERS servers are counted in a window.
+        """
         counts = self._counts.get(server)
         if counts is None:
             if len(self._counts) >= MAX_SERVERS:
@@ -137,7 +145,10 @@
             counts.failed += 1
 
     def report(self, now: int, endpoint_list: EndpointListVersion) -> FaultReport:
-        """What this node sees; judged anew when a window is over."""
+        """Returns the report on the last complete window, with the current endpoint list.
+
+        Starts a new window when the current one is over.
+        """
         if now >= self.window_ends_at:
             self.window_ends_at = now + self.rules.window_us
             self._report = FaultReport(
@@ -147,17 +158,17 @@
         return msgspec.structs.replace(self._report, endpoint_list=endpoint_list)
 
     def _zone_failure_tenths(self) -> dict[str, int]:
-        judged: dict[str, int] = {}
+        observed: dict[str, int] = {}
         failing: dict[str, int] = {}
         for server, counts in self._counts.items():
             zone = self.zones.get(server)
-            if zone is None or counts.judged < MIN_ATTEMPTS_PER_SERVER:
+            if zone is None or counts.conclusive < MIN_ATTEMPTS_PER_SERVER:
                 continue
-            if zone not in judged and len(judged) >= MAX_ZONES:
+            if zone not in observed and len(observed) >= MAX_ZONES:
                 continue
-            judged[zone] = judged.get(zone, 0) + 1
+            observed[zone] = observed.get(zone, 0) + 1
             failing[zone] = failing.get(zone, 0) + (counts.failed > counts.succeeded)
-        return {zone: TENTHS * failing[zone] // judged[zone] for zone in judged}
+        return {zone: TENTHS * failing[zone] // observed[zone] for zone in observed}
 
     def _rejected_tenths(self) -> int:
         total = sum(counts.total for counts in self._counts.values())
@@ -167,12 +178,19 @@
         return TENTHS * rejected // total
 
 
-# ---- at the coordinator -------------------------------------------------------------------------------
+# ---- on the coordinator -------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """An incident that is to be opened or closed."""
+class IncidentDecision:
+    """The decision to open or close an incident.
+
+    Attributes:
+        opens: Whether the incident is opened; otherwise it is closed.
+        incident_id: Id of the incident.
+        scope: Its scope as `parse_scope` reads it.
+        reason: Explanation for operators.
+    """
 
     opens: bool
     incident_id: str
@@ -181,7 +199,7 @@
 
 
 class FaultFinding(NamedTuple):
-    """How many of the nodes that can judge a fault see it now."""
+    """The combined reports on one fault; `ratio` is the fraction of observers that see it."""
 
     ratio: float
     scope: str
@@ -190,99 +208,125 @@
 
 @dataclass(slots=True)
 class TrackedFault:
-    """A fault that was seen; it is an open incident, or may become one."""
+    """A fault that nodes report: an open incident, or one that may be opened.
+
+    Attributes:
+        scope: Scope of the incident.
+        reason: Explanation for operators.
+        present_since: Since when the fault has been present; NEVER if it is not.
+        absent_since: Since when the fault has been absent; NEVER if it is not.
+        opened: Whether the incident is open.
+    """
 
     scope: str
     reason: str
-    seen_since: int = ABSENT
-    gone_since: int = ABSENT
+    present_since: int = NEVER
+    absent_since: int = NEVER
     opened: bool = False
 
     def update(self, now: int, finding: FaultFinding) -> None:
-        """Takes what the reports of this moment say."""
+        """Applies the current finding."""
         if finding.ratio > OPEN_RATIO:
-            self.seen_since, self.gone_since = self.seen_since or now, ABSENT
+            self.present_since, self.absent_since = self.present_since or now, NEVER
             self.reason = finding.reason
         elif finding.ratio <= CLEAR_RATIO:
-            self.mark_gone(now)
+            self.mark_absent(now)
         elif self.opened:
-            self.gone_since = ABSENT  # below what opens it, above what closes it
+            self.absent_since = (
+                NEVER  # between the two thresholds: the incident stays open
+            )
         else:
-            self.seen_since = ABSENT
+            self.present_since = NEVER
 
-    def mark_gone(self, now: int) -> None:
-        """The fault is not seen."""
-        self.seen_since, self.gone_since = ABSENT, self.gone_since or now
+    def mark_absent(self, now: int) -> None:
+        """Records that the fault is absent."""
+        self.present_since, self.absent_since = NEVER, self.absent_since or now
 
 
-class EvidenceJudge:
-    """The coordinator's view of all reports; each coordinator begins with a new one."""
+class EvidenceEvaluator:
+    """Decides which incidents to open and close from the reports of all nodes.
+
+    Each coordinator creates its own when it takes office.
+
+    Attributes:
+        rules: Thresholds and times.
+        faults: Tracked faults by incident id.
+    """
 
     def __init__(self, rules: EvidenceRules) -> None:
         self.rules = rules
         self.faults: dict[str, TrackedFault] = {}
 
     def adopt(self, now: int, open_scopes: Mapping[str, str]) -> None:
-        """Takes over incidents that an earlier coordinator opened; their time to clear begins anew."""
+        """Takes over the incidents that an earlier coordinator opened.
+
+        The time until they clear starts again at `now`.
+        """
         for incident_id, scope in open_scopes.items():
             self.faults.setdefault(
-                incident_id, TrackedFault(scope, "", gone_since=now, opened=True)
+                incident_id, TrackedFault(scope, "", absent_since=now, opened=True)
             )
 
-    def judge(
+    def evaluate(
         self, now: int, reports: Mapping[str, FaultReport], live: Collection[str]
-    ) -> list[Verdict]:
-        """What is to be opened and closed now.
+    ) -> list[IncidentDecision]:
+        """Returns the incidents to open and to close now.
 
         Args:
-            now: Monotonic microseconds.
-            reports: The newest report of each node.
+            now: Current time in monotonic microseconds.
+            reports: The latest report of each node.
             live: Names of the live members.
         """
         members = live if isinstance(live, Set) else frozenset(live)
         current = {name: report for name, report in reports.items() if name in members}
         if 2 * len(current) <= len(
             live
-        ):  # too few to say that a fault is there or gone
+        ):  # too few to decide whether a fault is present or absent
             for fault in self.faults.values():
-                fault.seen_since = fault.gone_since = ABSENT
+                fault.present_since = fault.absent_since = NEVER
             return []
         findings = self.findings(current)
         for incident_id, finding in findings.items():
             fault = self.faults.setdefault(
                 incident_id,
-                TrackedFault(finding.scope, finding.reason, gone_since=now),
+                TrackedFault(finding.scope, finding.reason, absent_since=now),
             )
             fault.update(now, finding)
-        return self._verdicts(now, findings)
+        return self._decisions(now, findings)
 
-    def _verdicts(
+    def _decisions(
         self, now: int, findings: Mapping[str, FaultFinding]
-    ) -> list[Verdict]:
-        verdicts: list[Verdict] = []
+    ) -> list[IncidentDecision]:
+        decisions: list[IncidentDecision] = []
         for incident_id, fault in list(self.faults.items()):
             if incident_id not in findings:
-                fault.mark_gone(now)
+                fault.mark_absent(now)
             if not fault.opened and self._is_confirmed(now, fault):
                 fault.opened = True
-                verdicts.append(Verdict(True, incident_id, fault.scope, fault.reason))
+                decisions.append(
+                    IncidentDecision(True, incident_id, fault.scope, fault.reason)
+                )
             elif fault.opened and self._is_cleared(now, fault):
                 del self.faults[incident_id]
-                verdicts.append(Verdict(False, incident_id, fault.scope, "quiet again"))
-            elif not fault.opened and fault.gone_since:
+                decisions.append(
+                    IncidentDecision(
+                        False, incident_id, fault.scope, "the fault has cleared"
+                    )
+                )
+            elif not fault.opened and fault.absent_since:
                 del self.faults[incident_id]
-        return verdicts
+        return decisions
 
     def _is_confirmed(self, now: int, fault: TrackedFault) -> bool:
-        seen_since = fault.seen_since
-        return seen_since != ABSENT and now >= seen_since + self.rules.confirm_us
+        present_since = fault.present_since
+        return present_since != NEVER and now >= present_since + self.rules.confirm_us
 
     def _is_cleared(self, now: int, fault: TrackedFault) -> bool:
-        gone_since = fault.gone_since
-        return gone_since != ABSENT and now >= gone_since + self.rules.clear_us
+        absent_since = fault.absent_since
+        return absent_since != NEVER and now >= absent_since + self.rules.clear_us
 
     def findings(self, reports: Mapping[str, FaultReport]) -> dict[str, FaultFinding]:
-        """By incident id, what the reports say together."""
+        """Combines the reports; returns the findings by incident id."""
         return (
             self._zone_findings(reports)
             | self._rejection_finding(reports)
@@ -298,12 +342,12 @@
                 tenths_by_zone.setdefault(zone, []).append(tenths)
         threshold = TENTHS * self.rules.zone_failure_ratio
         findings = {}
-        for zone, judged in sorted(tenths_by_zone.items()):
-            failing = sum(tenths >= threshold for tenths in judged)
-            ratio = failing / len(judged) if len(judged) >= MIN_JUDGES else 0.0
+        for zone, observed in sorted(tenths_by_zone.items()):
+            failing = sum(tenths >= threshold for tenths in observed)
+            ratio = failing / len(observed) if len(observed) >= MIN_OBSERVERS else 0.0
             reason = (
-                f"{failing} of {len(judged)} nodes find"
-                f" {self.rules.zone_failure_ratio:.0%} of its servers failing"
+                f"{failing} of {len(observed)} nodes report"
+                f" {self.rules.zone_failure_ratio:.0%} of its servers as failing"
             )
             findings[f"zone-{zone}-fails"] = FaultFinding(ratio, f"zone={zone}", reason)
         return findings
@@ -311,26 +355,26 @@
     def _rejection_finding(
         self, reports: Mapping[str, FaultReport]
     ) -> dict[str, FaultFinding]:
-        judged = [
+        observed = [
             report.rejected_tenths
             for report in reports.values()
             if report.rejected_tenths >= 0
         ]
-        if len(judged) < MIN_JUDGES:
+        if len(observed) < MIN_OBSERVERS:
             return {}
         threshold = TENTHS * self.rules.rejection_ratio
-        rejected = sum(tenths >= threshold for tenths in judged)
+        rejected = sum(tenths >= threshold for tenths in observed)
         reason = (
-            f"{rejected} of {len(judged)} nodes are turned away in"
-            f" {self.rules.rejection_ratio:.0%} of attempts"
+            f"{rejected} of {len(observed)} nodes report"
+            f" {self.rules.rejection_ratio:.0%} of attempts as rejected"
         )
-        finding = FaultFinding(rejected / len(judged), "*", reason)
+        finding = FaultFinding(rejected / len(observed), "*", reason)
         return {"servers-refuse": finding}
 
     def _endpoint_list_finding(
         self, reports: Mapping[str, FaultReport]
     ) -> dict[str, FaultFinding]:
-        """Lists of one origin and number must have one content."""
+        """Finds endpoint lists of the same origin and number whose content differs."""
         digests: dict[tuple[str, int], set[str]] = {}
         for report in reports.values():
             origin, number, digest = report.endpoint_list
@@ -343,6 +387,6 @@
             report.endpoint_list[:2] in diverging for report in reports.values()
         )
         origin, number = diverging[0]
-        reason = f"lists of one number and different content: {number} of {origin}"
-        ratio = affected / len(reports) if affected >= MIN_JUDGES else 0.0
+        reason = f"nodes hold different content of endpoint list {number} of {origin}"
+        ratio = affected / len(reports) if affected >= MIN_OBSERVERS else 0.0
         return {"lists-diverge": FaultFinding(ratio, "*", reason)}
--- a/loadbalancer/freeze/incidents.py
+++ b/loadbalancer/freeze/incidents.py
@@ -13,8 +13,8 @@
 from loadbalancer.freeze.actions import Send
 from loadbalancer.freeze.conflicts import incident_stops
 from loadbalancer.freeze.coordinator_context import CoordinatorContext
-from loadbalancer.freeze.evidence import KIND as BY_EVIDENCE
-from loadbalancer.freeze.evidence import Verdict
+from loadbalancer.freeze.evidence import RECORD_KIND as BY_EVIDENCE
+from loadbalancer.freeze.evidence import IncidentDecision
 from loadbalancer.freeze.leader_term import LeaderTerm, PendingReply
 from loadbalancer.freeze.messages import (
     INITIAL_VERSION,
@@ -118,7 +118,9 @@
             for command_id, reply in ready.items()
         ]
 
-    def apply_verdict(self, term: LeaderTerm, verdict: Verdict, severity: int) -> None:
+    def apply_verdict(
+        self, term: LeaderTerm, verdict: IncidentDecision, severity: int
+    ) -> None:
         """Opens or closes an incident that the members' reports show."""
         if verdict.opens:
             scope = parse_scope(verdict.scope)
--- a/loadbalancer/lab/scale/added_within.py
+++ b/loadbalancer/lab/scale/added_within.py
@@ -33,10 +33,10 @@
 from loadbalancer.audit.fleet_observer import FleetObserver
 from loadbalancer.audit.remediator import Remediator
 from loadbalancer.config.operator_config import Membership
-from loadbalancer.freeze.evidence import KIND as EVIDENCE
+from loadbalancer.freeze.evidence import RECORD_KIND as EVIDENCE
 from loadbalancer.freeze.evidence import (
     EndpointListVersion,
-    EvidenceJudge,
+    EvidenceEvaluator,
     EvidenceRules,
     FaultReport,
 )
@@ -338,7 +338,7 @@
             report = read_report(record.body)
             if report is not None:
                 reports[record.owner] = report
-        EvidenceJudge(EvidenceRules()).judge(now, reports, parts.live_members())
+        EvidenceEvaluator(EvidenceRules()).evaluate(now, reports, parts.live_members())
 
     HOLDS.timed("rare: the coordinator tells all members", tell)()
     HOLDS.timed("rare: the coordinator judges all reports", judge)()
--- a/loadbalancer/lab/scale/views.py
+++ b/loadbalancer/lab/scale/views.py
@@ -18,10 +18,10 @@
 from loadbalancer.audit.status import FileVersion, StatusRecord, VersionId
 from loadbalancer.audit.status import encode as encode_word
 from loadbalancer.config.operator_config import OperatorConfig, build
-from loadbalancer.freeze.evidence import KIND as EVIDENCE
+from loadbalancer.freeze.evidence import RECORD_KIND as EVIDENCE
 from loadbalancer.freeze.evidence import (
     EndpointListVersion,
-    EvidenceJudge,
+    EvidenceEvaluator,
     EvidenceRules,
     FaultReport,
 )
@@ -430,7 +430,7 @@
     looking, memory = held(lambda: Looking(swim, table, mine))
     _, seen = held(looking.look)
     clock = [2_000 * SECOND]
-    evidence = EvidenceJudge(EvidenceRules())
+    evidence = EvidenceEvaluator(EvidenceRules())
 
     def judge(names: Callable[[list[str]], Collection[str]]) -> None:
         """As `net.freeze.FreezeFeature.judge` does it at the coordinator, who hands on a list of names."""
@@ -440,7 +440,9 @@
             report = decode_report(record.body) if not record.stale else None
             if report is not None:
                 reports[record.owner] = report
-        evidence.judge(clock[0], reports, names([m.name for m in swim.live_members()]))
+        evidence.evaluate(
+            clock[0], reports, names([m.name for m in swim.live_members()])
+        )
 
     times = max(9, min(60, 20_000 // size))
     with settled():
--- a/loadbalancer/node/features/freeze.py
+++ b/loadbalancer/node/features/freeze.py
@@ -22,9 +22,9 @@
 from loadbalancer.freeze.changes import Change
 from loadbalancer.freeze.errors import FreezeRecordError
 from loadbalancer.freeze.evidence import (
-    KIND,
+    RECORD_KIND,
     EndpointListVersion,
-    EvidenceJudge,
+    EvidenceEvaluator,
     EvidenceRules,
     FaultReport,
     FaultWitness,
@@ -73,7 +73,7 @@
         self.evidence_rules: EvidenceRules = None  # type: ignore[assignment]
         self.witness: FaultWitness = None  # type: ignore[assignment]
         self.store: ElectorStore = None  # type: ignore[assignment]
-        self.evidence: EvidenceJudge | None = None  # while this node coordinates
+        self.evidence: EvidenceEvaluator | None = None  # while this node coordinates
         self.channel: Transport | None = None
         self.records: Records | None = None
         self.operator_calls = OperatorCalls(self)
@@ -311,7 +311,7 @@
             self.machine.elector.vote_guard.disabled = self.is_behind(self.records)
         if self.table.evidence:
             report = self.witness.report(self.host.now(), self.endpoint_list)
-            self.records.put(KIND, encode(report))
+            self.records.put(RECORD_KIND, encode(report))
             self.judge(self.records)
 
     def is_behind(self, records: Records) -> bool:
@@ -330,20 +330,20 @@
             self.evidence = None
             return
         if self.evidence is None:
-            self.evidence = EvidenceJudge(self.evidence_rules)
+            self.evidence = EvidenceEvaluator(self.evidence_rules)
             open_scopes = {
                 incident.id: format_scope(incident.scope)
                 for incident in coordinator.state.incidents.values()
-                if incident.opened_by == KIND
+                if incident.opened_by == RECORD_KIND
             }
             self.evidence.adopt(now, open_scopes)
         self.evidence.rules = self.evidence_rules
         reports: dict[str, FaultReport] = {}
-        for record in records.of(KIND):
+        for record in records.of(RECORD_KIND):
             report = decode(record.body) if not record.stale else None
             if report is not None:
                 reports[record.owner] = report
-        for verdict in self.evidence.judge(now, reports, self.host.cell_members()):
+        for verdict in self.evidence.evaluate(now, reports, self.host.cell_members()):
             coordinator.on_verdict(now, verdict, self.evidence_rules.severity)
         self.work()
 
--- a/tests/test_freeze_host.py
+++ b/tests/test_freeze_host.py
@@ -21,11 +21,11 @@
 from loadbalancer.freeze.changes import Answer, Change
 from loadbalancer.freeze.evidence import (
     EndpointListVersion,
-    EvidenceJudge,
+    EvidenceEvaluator,
     EvidenceRules,
     FaultReport,
     FaultWitness,
-    Verdict,
+    IncidentDecision,
     decode,
     encode,
 )
@@ -384,13 +384,13 @@
 def test_a_zone_that_most_nodes_find_failing_is_an_incident_until_it_has_long_been_quiet() -> (
     None
 ):
-    evidence, live = EvidenceJudge(EvidenceRules()), [f"n{i}" for i in range(5)]
-    verdicts: list[tuple[float, Verdict]] = []
+    evidence, live = EvidenceEvaluator(EvidenceRules()), [f"n{i}" for i in range(5)]
+    verdicts: list[tuple[float, IncidentDecision]] = []
 
     def judge(seconds: float, bad: int) -> None:
         reports = {n: zone(10 if i < bad else 0) for i, n in enumerate(live[:4])}
         now = int(seconds * 1e6)
-        verdicts.extend((seconds, v) for v in evidence.judge(now, reports, live))
+        verdicts.extend((seconds, v) for v in evidence.evaluate(now, reports, live))
 
     for s in range(10):
         judge(1 + s, 1)  # one node's word
@@ -410,17 +410,18 @@
 
 
 def test_evidence_of_a_minority_opens_and_closes_nothing() -> None:
-    evidence, live = EvidenceJudge(EvidenceRules()), [f"n{i}" for i in range(6)]
+    evidence, live = EvidenceEvaluator(EvidenceRules()), [f"n{i}" for i in range(6)]
     for s in range(100):
         assert (
-            evidence.judge(s * 1_000_000, {n: zone(10) for n in live[:3]}, live) == []
+            evidence.evaluate(s * 1_000_000, {n: zone(10) for n in live[:3]}, live)
+            == []
         )
     evidence.adopt(0, {"zone-a-fails": "zone=a"})
-    assert evidence.judge(200_000_000, {n: zone(0) for n in live[:3]}, live) == []
+    assert evidence.evaluate(200_000_000, {n: zone(0) for n in live[:3]}, live) == []
     assert (
-        evidence.judge(300_000_000, {n: zone(0) for n in live}, live) == []
+        evidence.evaluate(300_000_000, {n: zone(0) for n in live}, live) == []
     )  # the quiet time begins here
-    found = evidence.judge(330_000_000, {n: zone(0) for n in live}, live)
+    found = evidence.evaluate(330_000_000, {n: zone(0) for n in live}, live)
     assert [v.opens for v in found] == [False]
 
 
@@ -433,11 +434,11 @@
             for i, n in enumerate(live)
         },
     }.items():
-        evidence = EvidenceJudge(EvidenceRules())
+        evidence = EvidenceEvaluator(EvidenceRules())
         found = [
             v
             for s in range(5)
-            for v in evidence.judge(s * 1_000_000 + 1, reports, live)
+            for v in evidence.evaluate(s * 1_000_000 + 1, reports, live)
         ]
         assert [(v.opens, v.incident_id) for v in found] == [(True, name)]
 
