--- a/loadbalancer/freeze/changes.py
+++ b/loadbalancer/freeze/changes.py
@@ -1,6 +1,6 @@
 """Kinds of change that need a grant, and the answer to a request for one.
 
-Pure data: `node/features/feature.py` hands both on to the node's features.
+This module has data types only; features import them from `node/features/feature.py`.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 class Change(Enum):
     """Kinds of change that need a grant of the coordinator.
 
-    Whatever is not listed never waits: drains, departures, ejection, failover away from a failed
-    zone, rejections, SIGTERM.
+    Actions that are not listed never wait for a grant: drains, departures of nodes, ejections, failover away
+    from a failed zone, rejections, and the shutdown on SIGTERM.
     """
 
-    SETTINGS = "settings"  # a reload of the platform settings
-    OPERATION = "operation"  # a reload of the operator configuration
-    UPGRADE = "upgrade"
-    PLACEMENT = "placement"  # which servers or shards this node uses
-    ZONE_RETURN = "zone-return"
-    BRING_UP = "bring-up"  # of a node that is behind the others
-    SHUT_OUT = "shut-out"
+    SETTINGS = "settings"  # reload of the platform settings
+    OPERATION = "operation"  # reload of the operator configuration
+    UPGRADE = "upgrade"  # upgrade of servers or nodes
+    PLACEMENT = "placement"  # change of the servers or shards that a node uses
+    ZONE_RETURN = "zone-return"  # return of traffic to a zone that had failed
+    BRING_UP = "bring-up"  # catch-up of a node that is behind the others
+    SHUT_OUT = "shut-out"  # quarantine of a node
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Whether a change may happen now.
+    """The answer to a request for a change.
 
     Attributes:
-        allowed: Whether the change may begin.
-        reason: Why it may not, what it waits for, and what an operator can do.
+        allowed: Whether the change may start now.
+        reason: Why it may not start, what it waits for, and what an operator can do.
         retry_after_s: Seconds after which a new request may succeed.
-        fencing_token: Term and index of the grant; None if the change goes without one.
+        fencing_token: Term and log index of the grant; None for a change without a grant.
     """
 
     allowed: bool
@@ -46,4 +46,4 @@
     fencing_token: StateVersion | None = None
 
 
-GO = Answer(allowed=True)
+ALLOWED = Answer(allowed=True)
--- a/loadbalancer/freeze/client.py
+++ b/loadbalancer/freeze/client.py
@@ -1,15 +1,16 @@
-"""A node's client of the coordinator: it requests a grant before it changes something.
+"""A node's client of the coordinator: requests a grant before the node makes a change.
 
-The node checks every grant itself before it acts: that no newer coordinator has been heard, that the fencing
-token is above all that it has accepted or seen revoked in that scope, that the time to begin is not over (the
-process may have been stopped, or the datagram delayed), and that it knows of no incident that stops the
-change. A change stops as soon as the node hears of such an incident, by revocation or by notification, and
-when its grant expires.
+The node checks every grant before it acts on it: that no message of a newer coordinator has arrived, that the
+fencing token is higher than every token that it has accepted or seen revoked in that scope, that the time
+within which the change must start has not passed (the process may have been stopped, or the datagram
+delayed), and that no incident that it knows of stops the change. An active change must stop as soon as the
+node learns of such an incident, by revocation or by notification, and when its grant expires.
 
-Without a coordinator a request is answered after a fixed time all the same, by a rule for each kind of
-change.
+If no coordinator answers, a request is decided locally after a fixed time, by the rule for its kind of change
+(`no_coordinator`).
 
-Pure: messages and monotonic microseconds in, messages and outcomes (`drain`) out.
+This module does no I/O: it takes messages and monotonic microseconds, and returns messages to send and
+outcomes (`FreezeClient.drain`).
 """
 
 from __future__ import annotations
@@ -48,19 +49,28 @@
 from loadbalancer.freeze.request_id import parse_request_id
 from loadbalancer.freeze.rules import ClientRules
 
-MAX_PENDING = 256  # requests, commands or grants given back, at a time each
-MAX_BACKOFF_DOUBLINGS = 3
-MAX_FINISH_ATTEMPTS = 20  # afterwards the grant expires by itself
+MAX_PENDING = 256  # bounds requests and unacknowledged finishes, each on its own
+MAX_BACKOFF_DOUBLINGS = 3  # the retry interval grows to eight times its initial value
+MAX_FINISH_ATTEMPTS = 20  # if none is acknowledged, the grant expires on its own
 
 
 class FreezeClient:
-    """One node's requests, grants, and the incidents it knows of.
+    """One node's requests, its grants, and the open incidents that it knows of.
 
     Attributes:
-        pending: Requests without an outcome yet, by id.
-        active: Changes that are being made under a grant, by id.
-        finishing: Grants that are given back, by their id in messages.
-        commands: Operators' commands on their way.
+        name: Name of the node.
+        rules: Intervals, timeouts and the electors.
+        regions: The region of each zone.
+        now: Latest time that a caller has passed, in monotonic microseconds.
+        started_at: Time of the first call, in monotonic microseconds; 0 before it.
+        pending: Requests without an outcome, by change id.
+        active: Changes in progress under a grant, by change id.
+        finishing: Grants whose return is not acknowledged, by message id.
+        outcomes: Outcomes that `drain` returns, and recent final ones.
+        incidents: Open incidents as the coordinator last reported them.
+        locator: The known coordinator, and where to send the next message.
+        fences: Highest fencing token seen in each scope.
+        commands: Operators' commands that have no reply.
     """
 
     def __init__(
@@ -83,24 +93,24 @@
     # ---- called by the host ---------------------------------------------------------------------------
 
     def set_rules(self, rules: ClientRules, regions: Mapping[str, str]) -> None:
-        """Takes other rules; what is under way continues."""
+        """Replaces the rules; pending requests and active changes continue under the new ones."""
         self.rules, self.regions = rules, regions
         self.locator.electors = rules.electors
         self.commands.retry_interval_us = rules.retry_interval_us
 
     def request(self, now: int, change: RequestedChange) -> list[Send]:
-        """Requests a change; with a known id the outcome so far is reported again."""
-        self._advance(now)
+        """Requests a grant for a change; for an id that is already known, reports its outcome again."""
+        self._advance_clock(now)
         active = self.active.get(change.id)
         if active is not None:
             self.outcomes.allowed(change.id, active.token, active.token.term)
         elif not self.outcomes.repeat(change.id) and change.id not in self.pending:
-            return self._begin_request(change)
+            return self._start_request(change)
         return []
 
-    def _begin_request(self, change: RequestedChange) -> list[Send]:
+    def _start_request(self, change: RequestedChange) -> list[Send]:
         if len(self.pending) >= MAX_PENDING:
-            reason = "this node asks for too much at once"
+            reason = "this node has too many pending requests"
             retry_after_us = self.rules.coordinator.busy_retry_after_us
             self.outcomes.deferred(change.id, reason, retry_after_us)
             return []
@@ -109,19 +119,19 @@
         return self._send_request(request)
 
     def finish(self, now: int, change_id: str, result: str) -> list[Send]:
-        """The change has ended, or stopped after its revocation; the grant is given back."""
-        self._advance(now)
+        """Ends a change, completed or stopped after its revocation, and returns its grant."""
+        self._advance_clock(now)
         active = self.active.pop(change_id, None)
         if active is None:
             self.pending.pop(change_id, None)
             return []
         self.outcomes.finished(change_id, result, active.token)
-        return self._give_back(active.message_id, active.token, result)
+        return self._return_grant(active.message_id, active.token, result)
 
     def may_continue(self, now: int, change_id: str) -> bool:
-        """Whether a change may go on: to be asked before each step of a change that has several.
+        """Returns whether a change may continue; callers check before each of its steps.
 
-        A process that was stopped finds its grant expired.
+        After a pause of the process the grant may have expired unnoticed.
         """
         active = self.active.get(change_id)
         return (
@@ -134,21 +144,21 @@
         self, now: int, command: OperatorCommand, timeout_us: int
     ) -> list[Send]:
         """Sends an operator's command; its outcome is ALLOWED or REJECTED."""
-        self._advance(now)
+        self._advance_clock(now)
         if not self.commands.add(self.now, command, timeout_us):
             return []
         return self.tick(now)
 
     def tick(self, now: int) -> list[Send]:
-        """Does what is due: retries, grants that expire, answers without a coordinator."""
-        self._advance(now)
+        """Sends due retries, expires grants, and decides requests that no coordinator answers."""
+        self._advance_clock(now)
         sends: list[Send] = []
         for active in list(self.active.values()):
             if self.now >= active.expires_at:
                 sends += self._expire(active)
         for request in list(self.pending.values()):
-            if self.now >= self._unanswered_at(request):
-                self._answer_without_coordinator(request)
+            if self.now >= self._decide_locally_at(request):
+                self._decide_locally(request)
             elif self.now >= request.due_at:
                 sends += self._send_request(request)
         for message_id, finish in list(self.finishing.items()):
@@ -157,10 +167,10 @@
         return [*sends, *self.commands.tick(self.now)]
 
     def next_deadline(self) -> int | None:
-        """When `tick` should next be called; None while nothing is pending."""
+        """Returns when `tick` is next due, in monotonic microseconds; None if nothing is pending."""
         times = [active.expires_at for active in self.active.values()]
         times += [
-            min(request.due_at, self._unanswered_at(request))
+            min(request.due_at, self._decide_locally_at(request))
             for request in self.pending.values()
         ]
         times += [finish.due_at for finish in self.finishing.values()]
@@ -168,20 +178,23 @@
         return min(times, default=None)
 
     def drain(self) -> list[RequestOutcome]:
-        """Returns the outcomes since the last call."""
+        """Returns the outcomes reported since the last call."""
         return self.outcomes.drain()
 
     def open_incidents(self) -> list[IncidentNotice]:
-        """The incidents that hold at this node; none once no coordinator was heard for long."""
-        if self.now >= self.locator.heard_at + self.rules.incident_lifetime_us:
+        """Returns the incidents in force at this node.
+
+        There are none once no message of a coordinator has arrived for `incident_lifetime_us`.
+        """
+        if self.now >= self.locator.last_contact_at + self.rules.incident_lifetime_us:
             return []
         return list(self.incidents.by_id.values())
 
     # ---- messages -------------------------------------------------------------------------------------
 
     def receive(self, now: int, sender: str, message: FreezeMessage) -> list[Send]:
-        """Takes a message of a coordinator, or of an elector that is none."""
-        self._advance(now)
+        """Handles a message of a coordinator, or a redirect from an elector that does not coordinate."""
+        self._advance_clock(now)
         if isinstance(message, RedirectToLeader):
             return self._on_redirect(sender, message)
         if isinstance(message, ChangeFinishedAck):
@@ -210,13 +223,16 @@
         return []
 
     def _is_current(self, sender: str, term: int) -> bool:
-        """Takes note of who coordinates; a coordinator of an earlier term is over, and not heard."""
+        """Records the sender as coordinator; returns False for a message of an earlier term.
+
+        With a new term all pending requests become due at once.
+        """
         if self.locator.is_stale(term):
             return False
         if term > self.locator.term:
             for request in self.pending.values():
                 request.due_at, request.attempts = min(request.due_at, self.now), 0
-        self.locator.heard(self.now, sender, term)
+        self.locator.record_contact(self.now, sender, term)
         return True
 
     def _on_redirect(self, sender: str, redirect: RedirectToLeader) -> list[Send]:
@@ -238,31 +254,31 @@
         if request is None:
             if any(active.message_id == grant.id for active in self.active.values()):
                 return []
-            return self._give_back(grant.id, grant.token, "nobody wants it any more")
+            return self._return_grant(
+                grant.id, grant.token, "the request is no longer pending"
+            )
         request.answered_at, request.attempts = self.now, 0
         refusal = self._grant_refusal(request, grant)
         if refusal:
-            sends = self._give_back(request.message_id, grant.token, refusal)
+            sends = self._return_grant(request.message_id, grant.token, refusal)
             request.reissue(refusal, self.now)
             return sends
         self._activate(request, grant)
         return []
 
     def _grant_refusal(self, request: PendingRequest, grant: GrantIssued) -> str:
-        """Why a grant must not be begun; empty if it may."""
+        """Returns why the change must not start under this grant; empty if it may."""
         change, sent_at = request.change, grant.request_sent_at
-        begin_within_us = self.rules.local_duration_us(
+        start_within_us = self.rules.local_duration_us(
             self.rules.coordinator.begin_within_us
         )
         fence = self.fences.highest(change.scope)
         if not request.started_at <= sent_at <= self.now:
-            return "it is of an earlier life of this node"
-        if self.now >= sent_at + begin_within_us:
-            return "it came too late to begin"
+            return "it answers a request from before this node restarted"
+        if self.now >= sent_at + start_within_us:
+            return "it arrived too late for the change to start"
         if grant.token <= fence:
-            return (
-                f"a grant at or above ({fence.term}, {fence.log_index}) has been seen"
-            )
+            return f"its token is not above the highest seen, ({fence.term}, {fence.log_index})"
         if self._stopping_incident(change) is not None:
             return "an incident has opened"
         return ""
@@ -302,12 +318,12 @@
             return [ack]
         request = self._request_by_message_id(revocation.id)
         if request is not None:
-            # The grant itself is still under way: without the fence it would begin after its revocation.
+            # The grant has not arrived yet; without the fence, the change would start all the same.
             self.fences.raise_to(request.change.scope, revocation.token)
             retry_at = self.now + self.rules.coordinator.retry_after_us
             request.reissue(revocation.reason, retry_at)
-        result = "halted before it began"
-        return [ack, *self._give_back(revocation.id, revocation.token, result)]
+        result = "stopped before it started"
+        return [ack, *self._return_grant(revocation.id, revocation.token, result)]
 
     def _on_incidents(self, notification: IncidentList) -> None:
         notices = self.incidents.update(notification)
@@ -332,7 +348,7 @@
             del self.finishing[message_id]
         return Send(self.locator.target(finish.attempts), finish.message)
 
-    def _give_back(
+    def _return_grant(
         self, message_id: str, token: StateVersion, result: str
     ) -> list[Send]:
         message = ChangeFinished(message_id, token, result)
@@ -342,33 +358,33 @@
             del self.finishing[next(iter(self.finishing))]
         return [Send(self.locator.target(0), message)]
 
-    # ---- the end of a grant ---------------------------------------------------------------------------
+    # ---- stop and expiry of changes -------------------------------------------------------------------
 
     def _stop(self, active: ActiveChange, reason: str) -> None:
-        """Reports once that an active change must stop."""
+        """Reports that an active change must stop, unless that was reported before."""
         if not active.revocation_reason:
             active.revocation_reason = reason
             self.outcomes.revoked(active.change.id, reason, active.token)
 
     def _expire(self, active: ActiveChange) -> list[Send]:
-        """A grant expires while its change is being made: it stops, and may be requested anew."""
-        reason = "the grant has run out"
+        """Stops a change whose grant has expired; it may be requested again."""
+        reason = "the grant has expired"
         del self.active[active.change.id]
         self._stop(active, reason)
         self.outcomes.finished(active.change.id, reason, active.token)
-        return self._give_back(active.message_id, active.token, reason)
+        return self._return_grant(active.message_id, active.token, reason)
 
     # ---- without a coordinator ------------------------------------------------------------------------
 
-    def _unanswered_at(self, request: PendingRequest) -> int:
-        """When a request is answered without a coordinator."""
+    def _decide_locally_at(self, request: PendingRequest) -> int:
+        """Returns when a request is decided without a coordinator, in monotonic microseconds."""
         rule = self.rules.no_coordinator[request.change.kind.value]
         return max(request.started_at, request.answered_at) + rule.answer_after_us
 
-    def _answer_without_coordinator(self, request: PendingRequest) -> None:
+    def _decide_locally(self, request: PendingRequest) -> None:
         change = request.change
         rule = self.rules.no_coordinator[change.kind.value]
-        silence_us = self.now - max(self.locator.heard_at, self.started_at)
+        silence_us = self.now - max(self.locator.last_contact_at, self.started_at)
         decision = no_coordinator.decide(
             rule, silence_us, self._stopping_incident(change), self.rules.electors
         )
@@ -386,13 +402,13 @@
 
     # ---- small helpers --------------------------------------------------------------------------------
 
-    def _advance(self, now: int) -> None:
-        """Begins every action: time never goes back."""
+    def _advance_clock(self, now: int) -> None:
+        """Updates the clock at the start of each call; it never goes back."""
         self.now = max(self.now, now)
         self.started_at = self.started_at or self.now
 
     def _request_by_message_id(self, message_id: str) -> PendingRequest | None:
-        """The request as it is made now; None for an earlier issue of it."""
+        """Returns the pending request with this id in messages; None for an earlier issue of it."""
         request = self.pending.get(parse_request_id(message_id).base)
         if request is None or request.message_id != message_id:
             return None
--- a/loadbalancer/freeze/client_state.py
+++ b/loadbalancer/freeze/client_state.py
@@ -1,4 +1,4 @@
-"""Requests, changes and outcomes at the node that makes the change."""
+"""State that a node keeps of its requests, of its changes under a grant, and of their outcomes."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class RequestState(StrEnum):
-    """What has become of a request or command; the values are published."""
+    """State of a request or command. The values are published."""
 
     PENDING = "asked"
     ALLOWED = "go"
-    DEFERRED = "wait"  # to be requested again
+    DEFERRED = "wait"  # may be requested again later
     REJECTED = "no"  # final
     REVOKED = "halt"  # the change must stop
     FINISHED = "over"
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOutcome:
-    """What has become of a request or command.
+    """The outcome of a request or command.
 
     Attributes:
-        id: The node's id of the request.
+        id: Id that the node gave the request or command.
         state: Its state.
-        reason: Why, in words.
-        retry_after_us: After which to request again, if deferred.
+        reason: Explanation for operators.
+        retry_after_us: Time in microseconds after which to request again, if deferred.
         token: The grant's fencing token; None without a grant.
         term: Term of the coordinator that decided; 0 if none did.
     """
@@ -58,12 +58,12 @@
     Attributes:
         id: Unique among the changes of all nodes.
         kind: Kind of change.
-        scope: What it changes.
-        duration_us: How long it may take at most.
-        emergency_reason: Nonempty for an emergency, which passes incidents.
+        scope: The tier, region, zone, server or class that it affects.
+        duration_us: Maximum duration in microseconds.
+        emergency_reason: Nonempty for an emergency, which no incident stops.
         resolves_incident: Id of the incident that the change is to resolve.
-        plan: Changes of one plan do not conflict with each other.
-        wait_us: How long a deferred request is repeated before the outcome is reported.
+        plan: Id of a plan; changes of the same plan do not conflict with each other.
+        wait_us: Time in microseconds for which a deferred request is repeated before it is reported.
     """
 
     id: str
@@ -76,11 +76,11 @@
     wait_us: int = 0
 
     def stopped_by(self, incident: IncidentNotice, regions: Mapping[str, str]) -> bool:
-        """Whether an incident stops this change."""
+        """Returns whether an incident stops this change; `regions` has the region of each zone."""
         return incident_stops(incident, self.as_grant(), regions)
 
     def as_grant(self) -> Grant:
-        """The change as a grant, which conflicts are judged by."""
+        """Returns the change in the form of a grant, for `incident_stops`."""
         return Grant(
             self.id,
             "",
@@ -96,24 +96,35 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request without an outcome yet. Times are the node's monotonic microseconds."""
+    """A request without an outcome. Times are the node's monotonic microseconds.
+
+    Attributes:
+        change: The change that is requested.
+        started_at: When it was first requested.
+        wait_until: Until when a deferral is not reported but the request repeated.
+        due_at: When it is next sent.
+        attempts: Number of messages sent since the last answer.
+        reissues: How often it was requested again because its grant could not be used and was returned.
+        reason: Why it has no grant yet.
+        answered_at: When a coordinator last answered; 0 if none has.
+    """
 
     change: RequestedChange
     started_at: int
     wait_until: int
-    due_at: int = 0  # when it is sent again
-    attempts: int = 0  # since the last answer
-    reissues: int = 0  # a grant that could not begin is given back, and requested anew
-    reason: str = "nobody has answered yet"
-    answered_at: int = 0  # when a coordinator last answered; 0: never
+    due_at: int = 0
+    attempts: int = 0
+    reissues: int = 0
+    reason: str = "no coordinator has answered yet"
+    answered_at: int = 0
 
     @property
     def message_id(self) -> str:
-        """The id in messages."""
+        """The id that the request has in messages."""
         return format_request_id(self.change.id, self.reissues)
 
     def message(self, now: int) -> ChangeRequest:
-        """The request as it is sent now."""
+        """Returns the message that requests the change, as of `now`."""
         change = self.change
         return ChangeRequest(
             id=self.message_id,
@@ -128,14 +139,22 @@
         )
 
     def reissue(self, reason: str, due_at: int) -> None:
-        """Requests the change anew, under the next id."""
+        """Requests the change again at `due_at`, under the next message id."""
         self.reissues += 1
         self.reason, self.due_at = reason, due_at
 
 
 @dataclass(slots=True)
 class ActiveChange:
-    """A change that this node makes under a grant, until `expires_at`."""
+    """A change in progress under a grant.
+
+    Attributes:
+        change: The change.
+        message_id: Id of its request in messages.
+        token: Fencing token of the grant.
+        expires_at: When the grant expires, in the node's monotonic microseconds.
+        revocation_reason: Why the change must stop; empty if it may continue.
+    """
 
     change: RequestedChange
     message_id: str
@@ -146,7 +165,13 @@
 
 @dataclass(slots=True)
 class PendingFinish:
-    """A grant that is given back, until that is acknowledged."""
+    """The return of a grant that is not acknowledged yet.
+
+    Attributes:
+        message: The message that returns the grant.
+        due_at: When it is next sent, in the node's monotonic microseconds.
+        attempts: Number of messages sent again.
+    """
 
     message: ChangeFinished
     due_at: int
--- a/loadbalancer/freeze/conflicts.py
+++ b/loadbalancer/freeze/conflicts.py
@@ -1,4 +1,4 @@
-"""Which changes exclude each other, and which changes an incident stops."""
+"""Rules on which changes conflict with each other, and which changes an incident stops."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 from loadbalancer.freeze.scope import scopes_overlap
 from loadbalancer.freeze.state import Grant, Incident
 
-# Reloads by many nodes go together: each node reads its own file. A change of placement or program beside
-# another one leaves nobody able to say which of the two a fault came from; and nothing is shut out while an
-# upgrade takes servers or nodes away too.
+# Pairs of kinds that must not take place at the same time in overlapping scopes. Reloads on several nodes do
+# not conflict, because each node reads its own file. Two simultaneous changes of placement or program would
+# make it impossible to tell which of them caused a fault. Nodes are not shut out during an upgrade, because
+# the upgrade takes servers or nodes out of service as well.
 CONFLICTING_KINDS = frozenset(
     frozenset(kind.value for kind in pair)
     for pair in (
@@ -29,17 +30,17 @@
 
 
 def _conflicts_with(kind: str) -> frozenset[str]:
-    """The kinds that conflict with a kind; its own only if the pair of both is listed."""
-    found: set[str] = set()
+    """Returns the kinds that conflict with a kind; its own is one only if it is paired with itself."""
+    conflicting: set[str] = set()
     for pair in CONFLICTING_KINDS:
         if kind in pair:
-            found |= pair - {kind} or pair
-    return frozenset(found)
+            conflicting |= pair - {kind} or pair
+    return frozenset(conflicting)
 
 
 CONFLICTS_BY_KIND = {kind.value: _conflicts_with(kind.value) for kind in Change}
 
-# Bringing up a node that is behind is never stopped: it moves in the safe direction only.
+# The catch-up of a node that is behind is never stopped, because it can only improve the node's state.
 _STOPPED_BY_MINOR = (Change.UPGRADE, Change.PLACEMENT)
 _STOPPED_BY_MAJOR = (
     *_STOPPED_BY_MINOR,
@@ -56,7 +57,13 @@
 
 
 def changes_conflict(first: Grant, second: Grant, regions: Mapping[str, str]) -> bool:
-    """Whether two changes must not happen at the same time. `regions` has each zone's region."""
+    """Returns whether two changes must not happen at the same time.
+
+    Args:
+        first: One change, as a grant.
+        second: The other.
+        regions: The region of each zone.
+    """
     if first.id == second.id or (first.plan and first.plan == second.plan):
         return False
     kinds = frozenset((first.kind, second.kind))
@@ -68,7 +75,15 @@
 def incident_stops(
     incident: Incident | IncidentNotice, grant: Grant, regions: Mapping[str, str]
 ) -> bool:
-    """Whether an incident stops a change: no emergency, and not one that resolves the incident."""
+    """Returns whether an incident stops a change.
+
+    It never stops an emergency, nor the change that is to resolve it.
+
+    Args:
+        incident: An open incident.
+        grant: The change, as a grant.
+        regions: The region of each zone.
+    """
     if grant.emergency_reason or grant.resolves_incident == incident.id:
         return False
     stopped = STOPPED_KINDS_BY_SEVERITY[incident.severity]
--- a/loadbalancer/freeze/errors.py
+++ b/loadbalancer/freeze/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the change freeze."""
+"""Errors that the change freeze reports to operators."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 
 
 class FreezeError(LoadBalancerError):
-    """A call to the change freeze that cannot be taken."""
+    """A call to the change freeze is malformed or cannot be accepted."""
 
     remedy: ClassVar[str] = (
-        "docs/freeze.md shows each call with its values; send it again as it stands there"
+        "correct the call as docs/freeze.md describes it, with its keys and values, and send it again"
     )
 
 
 class FreezeScopeError(FreezeError):
-    """A scope that is not written as one."""
+    """A scope does not have the form that `parse_scope` reads."""
 
     code: ClassVar[str] = "FreezeScope"
     remedy: ClassVar[str] = (
-        "write the scope as * or as zone=a,class=look with the keys that the line names"
+        "write the scope as * or as zone=a,class=look, with the keys that the message lists"
     )
 
 
 class FreezeRecordError(FreezeError):
-    """What an elector has in its store is not an elector's record, or a newer program's."""
+    """The record in an elector's store is malformed, or a newer version of the program wrote it."""
 
     code: ClassVar[str] = "FreezeRecord"
     remedy: ClassVar[str] = (
-        "take the record freeze-elector out of the node's store, or start the newer program again; without it"
-        " the elector takes part once a majority of the others has told it what they know"
+        "remove the record freeze-elector from the node's store, or start the newer version again; without"
+        " the record the elector takes part once a majority of the others has sent it their state"
     )
 
 
 class FreezeMessageError(FreezeError):
-    """A datagram to the change freeze that is not well formed; counted as `malformed` and dropped."""
+    """A datagram of the change freeze is malformed; it is counted as `malformed` and dropped."""
 
     code: ClassVar[str] = "FreezeMalformed"
     remedy: ClassVar[str] = (
-        "run one version of the program on all nodes; look who else sends to their port"
+        "run the same version of the program on all nodes, and check which other hosts send to their port"
     )
--- a/loadbalancer/freeze/known_incidents.py
+++ b/loadbalancer/freeze/known_incidents.py
@@ -1,4 +1,4 @@
-"""The open incidents as a node knows them, from the coordinator's notifications."""
+"""The open incidents as a node knows them from the coordinator's notifications."""
 
 from __future__ import annotations
 
@@ -11,18 +11,27 @@
 
 
 class KnownIncidents:
-    """Incidents of the newest notification.
+    """The incidents of the latest notification.
 
-    One that comes in parts adds its incidents at once, and removes the others when it is complete.
+    A notification may arrive in parts. Each part adds its incidents at once; incidents that the notification
+    does not list are removed when all parts have arrived.
+
+    Attributes:
+        by_id: Open incidents by id.
+        version: Version of the state in which the incidents last changed.
     """
 
     def __init__(self) -> None:
         self.by_id: dict[str, IncidentNotice] = {}
-        self.version: StateVersion = INITIAL_VERSION  # of their last change
+        self.version: StateVersion = INITIAL_VERSION
         self._parts: dict[int, list[IncidentNotice]] = {}
 
     def update(self, notification: IncidentList) -> list[IncidentNotice]:
-        """Takes one part; returns all incidents of its version so far, none if it is outdated."""
+        """Applies one part of a notification.
+
+        Returns:
+            All incidents of the part's version received so far; none if the part is outdated.
+        """
         if notification.changed_version < self.version:
             return []
         if notification.changed_version > self.version:
--- a/loadbalancer/freeze/messages.py
+++ b/loadbalancer/freeze/messages.py
@@ -1,11 +1,11 @@
-"""Messages of the change freeze: bounded, versioned, MessagePack by msgspec.
+"""Messages of the change freeze, encoded as MessagePack by msgspec, versioned and bounded in size.
 
-Every datagram is one `FreezeDatagram`: the protocol version, the sender and one message. The transport below
-decides who belongs to the cluster. What does not decode, is too large or out of range raises a
-`FreezeMessageError`.
+Every datagram holds one `FreezeDatagram`: the protocol version, the sender and one message. The transport
+checks that the sender belongs to the cluster. A datagram that is malformed, too large or has a value out of
+range raises a `FreezeMessageError`.
 
-The structs are arrays on the wire, so the order and types of the fields are the format; their names are not.
-Times are microseconds of the monotonic clock of the node that the field names.
+The structs are encoded as arrays, so the order and types of the fields are part of the wire format and their
+names are not. Times are microseconds of the monotonic clock of the node that the field names.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from loadbalancer.transports.interface import LARGEST
 
 PROTOCOL_VERSION = 1
-MAX_COMMAND_BYTES = 900  # a replicated command goes whole in one datagram
-SNAPSHOT_PART_BYTES = 1_100
+MAX_COMMAND_BYTES = 900  # a replicated command must fit into one datagram
+SNAPSHOT_PART_BYTES = 1_100  # snapshot data in one datagram
 MAX_SNAPSHOT_PARTS = 400
 MAX_INCIDENT_LIST_PARTS = 64
 
@@ -32,10 +32,10 @@
 
 
 class StateVersion(NamedTuple):
-    """A version of the replicated state: Raft's (term, index) of the last entry.
+    """A version of the replicated state: the term and index of its last log entry, as in Raft.
 
-    The newer version is the larger. A version is made by one leader once, so equal versions are equal
-    states. The version that a grant leads to is its fencing token.
+    The newer of two versions is the larger. Only one leader creates a version, and only once, so equal
+    versions mean equal states. The version after a grant's log entry is the grant's fencing token.
     """
 
     term: Number
@@ -46,7 +46,7 @@
 
 
 class ReplicatedCommand(NamedTuple):
-    """One command, with the version of the state that it leads to; empty data changes nothing."""
+    """One command and the version of the state after it; empty data leaves the state unchanged."""
 
     version: StateVersion
     data: bytes
@@ -56,10 +56,10 @@
 
 
 class VoteRequest(msgspec.Struct, tag=1, array_like=True, frozen=True):
-    """A candidate asks for a vote in `term`; as a pre-vote it only asks whether it would get one."""
+    """A candidate requests a vote in `term`; a pre-vote only asks whether it would be granted."""
 
     term: Number
-    sent_at: Number  # the candidate's clock; comes back in the response
+    sent_at: Number  # the candidate's clock; returned in the response
     last_version: StateVersion
     pre_vote: bool
 
@@ -74,7 +74,7 @@
 
 
 class Heartbeat(msgspec.Struct, tag=3, array_like=True, frozen=True):
-    """The leader renews its lease, and moves the state from `previous_version` on by the commands."""
+    """The leader renews its lease and replicates the commands that follow `previous_version`."""
 
     term: Number
     sent_at: Number
@@ -84,7 +84,7 @@
 
 
 class SnapshotPart(msgspec.Struct, tag=4, array_like=True, frozen=True):
-    """One part of the whole state, for an elector that the leader's command log no longer reaches."""
+    """One part of a snapshot, for an elector whose missing commands the leader no longer has."""
 
     term: Number
     sent_at: Number
@@ -98,8 +98,12 @@
 class HeartbeatAck(msgspec.Struct, tag=5, array_like=True, frozen=True):
     """An elector's answer to a `Heartbeat` or `SnapshotPart`.
 
-    `stored_version` is in its store, `applied_version` in memory (its write may be under way).
-    `lease_granted`: it votes for nobody else for a lease, counted from `sent_at`.
+    Attributes:
+        term: The elector's term.
+        sent_at: That of the message answered, by the leader's clock.
+        stored_version: Version in the elector's store.
+        applied_version: Version in the elector's memory, whose write may not be complete.
+        lease_granted: Whether the elector votes for no other candidate for a lease, counted from `sent_at`.
     """
 
     term: Number
@@ -110,7 +114,7 @@
 
 
 class RecoveryRequest(msgspec.Struct, tag=6, array_like=True, frozen=True):
-    """An elector whose store was lost asks what the others know; the nonce excludes old answers."""
+    """An elector that lost its store asks the others for their state; the nonce excludes old answers."""
 
     nonce: Number
 
@@ -118,8 +122,12 @@
 class RecoveryResponse(msgspec.Struct, tag=7, array_like=True, frozen=True):
     """The answer to a `RecoveryRequest`.
 
-    `state_lost`: the sender's own store was lost. `reset_declared`: an operator has declared there that
-    the replicated state is gone.
+    Attributes:
+        nonce: That of the request.
+        term: The sender's term.
+        version: Version of the sender's state.
+        state_lost: Whether the sender has lost its own store.
+        reset_declared: Whether an operator has declared at the sender that the replicated state is lost.
     """
 
     nonce: Number
@@ -133,7 +141,7 @@
 
 
 class Scope(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """What a change or an incident is about; an empty field stands for all."""
+    """The part of the system that a change or an incident affects; an empty field means all."""
 
     tier: OptionalName = ""
     region: OptionalName = ""
@@ -143,19 +151,26 @@
 
 
 class ChangeRequest(msgspec.Struct, tag=10, array_like=True, frozen=True):
-    """A node asks for a change; each retry has the same `id`.
-
-    `duration_us` is how long the change may take at most. A nonempty `emergency_reason` passes incidents
-    and preempts conflicting changes; a change that `resolves_incident` is not stopped by that one. Changes
-    of one `plan` do not conflict with each other. `keep_queued`: the node will ask again, so its place in
-    the queue is kept.
+    """A node requests a change; each retry has the same `id`.
+
+    Attributes:
+        id: Id of the request; see `request_id`.
+        kind: Kind of change, a value of `Change`.
+        scope: What the change affects.
+        duration_us: Maximum duration of the change in microseconds.
+        sent_at: When this message was sent, by the node's clock.
+        emergency_reason: Nonempty for an emergency, which no incident stops and which preempts conflicting
+            changes.
+        resolves_incident: Id of the incident that the change is to resolve, which does not stop it.
+        plan: Id of a plan; changes of the same plan do not conflict with each other.
+        keep_queued: Whether the node will ask again, so that its place in the queue is kept.
     """
 
     id: Name
     kind: Name
     scope: Scope
     duration_us: Number
-    sent_at: Number  # the node's clock
+    sent_at: Number
     emergency_reason: Text = ""
     resolves_incident: OptionalName = ""
     plan: OptionalName = ""
@@ -163,17 +178,20 @@
 
 
 class GrantIssued(msgspec.Struct, tag=11, array_like=True, frozen=True):
-    """The change may begin, under the fencing token. `request_sent_at` is that of the request granted."""
+    """The change may start under this fencing token.
+
+    `request_sent_at` is the `sent_at` of the request that is granted.
+    """
 
     id: Name
     token: StateVersion
-    as_of: StateVersion  # committed at the coordinator
+    as_of: StateVersion  # the coordinator's committed version
     request_sent_at: Number
     duration_us: Number
 
 
 class ChangeDeferred(msgspec.Struct, tag=12, array_like=True, frozen=True):
-    """Not now; if `final`, never under this id."""
+    """The change may not start now; if `final`, no request under this id will be granted."""
 
     id: Name
     as_of: StateVersion
@@ -183,14 +201,14 @@
 
 
 class RedirectToLeader(msgspec.Struct, tag=13, array_like=True, frozen=True):
-    """A node that is not the leader names who is; empty if it does not know."""
+    """An elector that is not the leader names the leader; empty if it knows none."""
 
     leader: OptionalName
     term: Number
 
 
 class ChangeFinished(msgspec.Struct, tag=14, array_like=True, frozen=True):
-    """The change has ended and its grant is given back; repeated until acknowledged."""
+    """The change has ended and its grant is returned; repeated until acknowledged."""
 
     id: Name
     token: StateVersion
@@ -198,7 +216,7 @@
 
 
 class ChangeFinishedAck(msgspec.Struct, tag=15, array_like=True, frozen=True):
-    """Acknowledges a `ChangeFinished` that a majority holds."""
+    """Acknowledges a `ChangeFinished` once a majority has stored it."""
 
     id: Name
     token: StateVersion
@@ -214,7 +232,7 @@
 
 
 class RevocationAck(msgspec.Struct, tag=17, array_like=True, frozen=True):
-    """The change has stopped, or will not begin."""
+    """The change has been stopped, or will not start."""
 
     id: Name
     token: StateVersion
@@ -224,7 +242,7 @@
 
 
 class OperatorCommand(msgspec.Struct, tag=18, array_like=True, frozen=True):
-    """An operator opens or closes an incident, at any node; `action` is "open" or "close"."""
+    """An operator opens or closes an incident at any node; `action` is "open" or "close"."""
 
     id: Name
     action: Name
@@ -236,7 +254,7 @@
 
 
 class OperatorCommandReply(msgspec.Struct, tag=19, array_like=True, frozen=True):
-    """The answer to an `OperatorCommand`, once a majority holds what it changed."""
+    """The answer to an `OperatorCommand`, once a majority has stored its effect."""
 
     id: Name
     as_of: StateVersion
@@ -245,7 +263,7 @@
 
 
 class IncidentNotice(msgspec.Struct, array_like=True, frozen=True):
-    """An incident as members are notified of it."""
+    """An incident in the notification to the members."""
 
     id: Name
     scope: Scope
@@ -254,9 +272,10 @@
 
 
 class IncidentList(msgspec.Struct, tag=20, array_like=True, frozen=True):
-    """All open incidents, to every member, when they change and periodically; in parts if many.
+    """Notifies a member of all open incidents, when they change and periodically.
 
-    `changed_version` is the version of the last change of incidents.
+    A list that exceeds one datagram is sent in `count` parts, of which this is part `index`.
+    `changed_version` is the version of the state in which the incidents last changed.
     """
 
     as_of: StateVersion
@@ -289,7 +308,7 @@
 
 
 class FreezeDatagram(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram."""
+    """The content of one datagram."""
 
     version: int
     sender: Name
@@ -301,24 +320,27 @@
 
 
 def encode(sender: str, message: FreezeMessage) -> bytes:
-    """Returns the bytes of one datagram."""
+    """Encodes a message as one datagram."""
     return _encoder.encode(FreezeDatagram(PROTOCOL_VERSION, sender, message))
 
 
 def decode(data: bytes) -> FreezeDatagram:
-    """Reads one datagram.
+    """Decodes one datagram.
 
     Raises:
-        FreezeMessageError: It is too large, malformed, out of range or of another protocol version.
+        FreezeMessageError: It is malformed, too large, of another protocol version, or has a value that is
+            out of range.
     """
     if len(data) > LARGEST:
-        raise FreezeMessageError(f"datagram of {len(data)} bytes, more than {LARGEST}")
+        raise FreezeMessageError(
+            f"datagram of {len(data)} bytes exceeds the maximum of {LARGEST}"
+        )
     try:
         datagram = _decoder.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
         raise FreezeMessageError(f"malformed datagram: {error}") from None
     if datagram.version != PROTOCOL_VERSION:
         raise FreezeMessageError(
-            f"version {datagram.version}, this node speaks {PROTOCOL_VERSION}"
+            f"datagram of protocol version {datagram.version}; this node supports {PROTOCOL_VERSION}"
         )
     return datagram
--- a/loadbalancer/freeze/no_coordinator.py
+++ b/loadbalancer/freeze/no_coordinator.py
@@ -1,4 +1,4 @@
-"""The answer to a request that no coordinator has answered in time, by the rule for its kind of change."""
+"""Decides requests that no coordinator has answered in time, by the rule for their kind of change."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """Whether the change proceeds without a grant, and why."""
+    """Whether a change proceeds without a grant, and the reason for operators."""
 
     proceeds: bool
     reason: str
@@ -22,24 +22,24 @@
     stopped_by: IncidentNotice | None,
     electors: tuple[str, ...],
 ) -> Decision:
-    """Decides on one request.
+    """Decides whether the change of one request proceeds.
 
     Args:
         rule: The rule for its kind of change.
-        silence_us: How long no coordinator has been heard, in microseconds.
-        stopped_by: An incident that stops the change, of those last notified.
+        silence_us: Time since the last message of a coordinator, in microseconds.
+        stopped_by: A known open incident that stops the change; None if there is none.
         electors: Names of the electors.
     """
     if stopped_by is not None:
         return Decision(
             False,
-            f"no coordinator answers, and incident {stopped_by.id} was open when one last did",
+            f"no coordinator answers, and incident {stopped_by.id} was open at the last contact",
         )
     proceed_after_us = rule.proceed_after_silence_us
     if proceed_after_us is not None and silence_us >= proceed_after_us:
         return Decision(
             True,
-            f"no coordinator has been heard for {silence_us / 1e6:.0f} s: it goes without a grant",
+            f"no message of a coordinator for {silence_us / 1e6:.0f} s: proceeding without a grant",
         )
     return Decision(
         False,
--- a/loadbalancer/freeze/operator_commands.py
+++ b/loadbalancer/freeze/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands on their way to the coordinator, repeated until answered or given up."""
+"""Sends operators' commands to the coordinator and repeats them until a reply or a timeout."""
 
 from __future__ import annotations
 
@@ -15,7 +15,14 @@
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command without an answer yet. Times are the node's monotonic microseconds."""
+    """A command without a reply. Times are the node's monotonic microseconds.
+
+    Attributes:
+        message: The command.
+        give_up_at: When it is reported as rejected if there is no reply.
+        due_at: When it is next sent.
+        attempts: Number of messages sent.
+    """
 
     message: OperatorCommand
     give_up_at: int
@@ -24,7 +31,14 @@
 
 
 class OperatorCommands:
-    """The commands that were given at one node; their outcome is ALLOWED or REJECTED."""
+    """The pending operators' commands of one node; their outcome is ALLOWED or REJECTED.
+
+    Attributes:
+        locator: Selects the node to send a command to.
+        outcomes: Where outcomes are reported.
+        retry_interval_us: Time between two attempts in microseconds.
+        pending: Commands without a reply, by id.
+    """
 
     def __init__(
         self, locator: CoordinatorLocator, outcomes: Outcomes, retry_interval_us: int
@@ -34,18 +48,27 @@
         self.pending: dict[str, PendingCommand] = {}
 
     def add(self, now: int, command: OperatorCommand, timeout_us: int) -> bool:
-        """Takes a command, to be sent at the next `tick`; returns False if that is not needed."""
+        """Adds a command, to be sent at the next `tick`.
+
+        Args:
+            now: Current time in monotonic microseconds.
+            command: The command.
+            timeout_us: Time in microseconds to wait for a reply.
+
+        Returns:
+            False if the command is already known, or is rejected because too many are pending.
+        """
         if command.id in self.outcomes.results or command.id in self.pending:
             return False
         if len(self.pending) >= MAX_PENDING_COMMANDS:
-            reason = "this node has too many calls on their way"
+            reason = "this node has too many pending commands"
             self.outcomes.rejected(command.id, reason)
             return False
         self.pending[command.id] = PendingCommand(command, now + timeout_us, now)
         return True
 
     def tick(self, now: int) -> list[Send]:
-        """Sends what is due, and gives up what was not answered in time."""
+        """Returns the commands to send now, and rejects those whose timeout has passed."""
         sends: list[Send] = []
         for command_id, command in list(self.pending.items()):
             if now >= command.give_up_at:
@@ -60,11 +83,11 @@
         return sends
 
     def deadlines(self) -> list[int]:
-        """When commands are due."""
+        """Returns when each pending command is next sent, in monotonic microseconds."""
         return [command.due_at for command in self.pending.values()]
 
     def on_reply(self, reply: OperatorCommandReply) -> None:
-        """The coordinator has answered."""
+        """Reports the outcome of a pending command; a reply to any other command is ignored."""
         if self.pending.pop(reply.id, None) is not None:
             state = RequestState.ALLOWED if reply.accepted else RequestState.REJECTED
             self.outcomes.command_answered(
--- a/loadbalancer/freeze/request_id.py
+++ b/loadbalancer/freeze/request_id.py
@@ -1,4 +1,7 @@
-"""Ids of requests: a request whose grant could not be begun is made again as `id~1`, `id~2` and so on."""
+"""Ids of requests in messages.
+
+A request whose grant could not be used is made again under the ids `id~1`, `id~2` and so on.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,17 @@
 
 
 class RequestId(NamedTuple):
-    """The id that the node gave its request, and how often the request was made anew."""
+    """The id that the node gave its request, and how often the request was made again."""
 
     base: str
     retry: int
 
 
 def parse_request_id(text: str) -> RequestId:
-    """Reads an id as it stands in messages; a suffix that is no number counts as none."""
+    """Parses an id from a message.
+
+    Anything after the first separator that is not a number is dropped, and the retry is then 0.
+    """
     base, _, suffix = text.partition(RETRY_SEPARATOR)
     if suffix.isdigit() and len(suffix) <= MAX_RETRY_DIGITS:
         return RequestId(base, int(suffix))
@@ -24,5 +30,5 @@
 
 
 def format_request_id(base: str, retry: int) -> str:
-    """Writes an id for messages."""
+    """Formats an id for messages; the first request (`retry` 0) has no suffix."""
     return f"{base}{RETRY_SEPARATOR}{retry}" if retry else base
--- a/loadbalancer/freeze/scope.py
+++ b/loadbalancer/freeze/scope.py
@@ -1,4 +1,4 @@
-"""Scopes as operators write them, and whether two of them overlap."""
+"""Parses and formats scopes as operators write them, and checks whether two scopes overlap."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from loadbalancer.freeze.errors import FreezeScopeError
 from loadbalancer.freeze.messages import Scope
 
-# The published key of each field of a `Scope`.
+# Published key -> field of `Scope`.
 SCOPE_FIELDS = {
     "tier": "tier",
     "region": "region",
@@ -15,14 +15,14 @@
     "server": "server",
     "class": "request_class",
 }
-MAX_VALUE_LENGTH = 64
+MAX_VALUE_LENGTH = 64  # characters
 
 
 def parse_scope(text: str) -> Scope:
-    """Reads `zone=a,class=look`, or `*` for everything.
+    """Parses a scope such as `zone=a,class=look`, or `*` for everything.
 
     Raises:
-        FreezeScopeError: Names the part that is not `key=value` with a known key.
+        FreezeScopeError: A part is not `key=value` with a known key and a value of 1 to 64 characters.
     """
     fields: dict[str, str] = {}
     for part in text.split(",") if text not in ("", "*") else ():
@@ -33,13 +33,15 @@
             or not 0 < len(value) <= MAX_VALUE_LENGTH
         ):
             known = ", ".join(f"{known_key}=..." for known_key in SCOPE_FIELDS)
-            raise FreezeScopeError(f"{part.strip()!r}: a scope is * or some of {known}")
+            raise FreezeScopeError(
+                f"{part.strip()!r} is not part of a scope: a scope is * or some of {known}"
+            )
         fields[SCOPE_FIELDS[key]] = value
     return Scope(**fields)
 
 
 def format_scope(scope: Scope) -> str:
-    """Writes a scope as `parse_scope` reads it."""
+    """Formats a scope in the form that `parse_scope` reads."""
     parts = [
         f"{key}={getattr(scope, name)}"
         for key, name in SCOPE_FIELDS.items()
@@ -49,12 +51,12 @@
 
 
 def scopes_overlap(first: Scope, second: Scope, regions: Mapping[str, str]) -> bool:
-    """Whether two scopes may have something in common.
+    """Returns whether two scopes may have a server in common.
 
     Args:
         first: One scope.
         second: The other.
-        regions: The region of each zone. A zone that is not listed may lie in any region.
+        regions: The region of each zone. A zone that is not listed may be in any region.
     """
     for name in ("tier", "zone", "server", "request_class"):
         first_value, second_value = getattr(first, name), getattr(second, name)
--- a/loadbalancer/lab/scale/views.py
+++ b/loadbalancer/lab/scale/views.py
@@ -38,7 +38,7 @@
 from loadbalancer.node.discovery.endpoint_list_codec import Line
 from loadbalancer.node.features.audit import AuditFeature
 from loadbalancer.node.features.feature import (
-    GO,
+    ALLOWED,
     Answer,
     AttemptEnd,
     Change,
@@ -205,7 +205,7 @@
     def request_change(
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
-        then(GO)
+        then(ALLOWED)
 
     def announce_version(self, version: Version) -> None: ...
 
--- a/loadbalancer/node/features/feature.py
+++ b/loadbalancer/node/features/feature.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING, Any, ClassVar, Protocol
 
 from loadbalancer.errors import LoadBalancerError
-from loadbalancer.freeze.changes import GO, Answer, Change
+from loadbalancer.freeze.changes import ALLOWED, Answer, Change
 from loadbalancer.policy.api import ListUpdateKind, Outcome
 from loadbalancer.records.interface import Records
 from loadbalancer.stores.interface import Store
@@ -33,7 +33,7 @@
 
 
 __all__ = [
-    "GO",
+    "ALLOWED",
     "AdminPage",
     "Answer",
     "AttemptEnd",
@@ -276,7 +276,7 @@
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
         """Another feature or the node wants to make a change; `then` must be called once, now or later."""
-        then(GO)
+        then(ALLOWED)
 
     def on_change_made(
         self, change: Change, scope: str, grant: StateVersion | None
--- a/loadbalancer/node/features/forecast.py
+++ b/loadbalancer/node/features/forecast.py
@@ -27,7 +27,7 @@
 from loadbalancer.node.features.cache_observer import CacheObserver
 from loadbalancer.node.features.change_forecaster import ChangeForecaster
 from loadbalancer.node.features.core_feature import CoreFeature
-from loadbalancer.node.features.feature import GO, Answer, AttemptEnd, Change
+from loadbalancer.node.features.feature import ALLOWED, Answer, AttemptEnd, Change
 from loadbalancer.node.features.forecast_queue import ForecastQueue, ForecastReady
 from loadbalancer.node.features.key_reports import KeyReports
 from loadbalancer.node.features.shards import (
@@ -191,7 +191,7 @@
     ) -> None:
         """A change of placement goes at once, in its turn, or waits; all others are allowed."""
         if change != Change.PLACEMENT or not self.decides:
-            then(GO)
+            then(ALLOWED)
             return
         kind = _kind_of(scope)
         wanted_since, plan = self.plans.get(kind, (self.node.now(), None))
@@ -240,7 +240,7 @@
             if left_s > 0:
                 reason = f"forecast: {plan.reason}; this node's turn is {turn + 1} of {plan.steps}"
                 return Answer(False, reason, left_s)
-        return GO
+        return ALLOWED
 
     def on_change_made(
         self, change: Change, scope: str, grant: tuple[int, int] | None
--- a/loadbalancer/node/features/freeze_page.py
+++ b/loadbalancer/node/features/freeze_page.py
@@ -37,7 +37,11 @@
 
 def silence_s(client: FreezeClient, now: int) -> float | None:
     """Seconds since a coordinator was last heard; None if never."""
-    return (now - client.locator.heard_at) / 1e6 if client.locator.heard_at else None
+    return (
+        (now - client.locator.last_contact_at) / 1e6
+        if client.locator.last_contact_at
+        else None
+    )
 
 
 def page(machine: FreezeNode, now: int, store_error: str) -> dict[str, Any]:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -21,7 +21,7 @@
 from loadbalancer.node.discovery.endpoint_list_codec import Line, Listing
 from loadbalancer.node.features.audit import AuditFeature
 from loadbalancer.node.features.feature import (
-    GO,
+    ALLOWED,
     Answer,
     AttemptEnd,
     Change,
@@ -72,7 +72,7 @@
         self.kept: Store = store or MemoryStore()
         self.said: list[dict[str, Any]] = []
         self.merged: list[Line] = []
-        self.answer: Answer = GO
+        self.answer: Answer = ALLOWED
         self.alone = False
         self.held = False
         self.asked = 0
--- a/tests/test_freeze.py
+++ b/tests/test_freeze.py
@@ -295,7 +295,7 @@
     world.request("n4", "next", wait_us=10 * SECOND)
     assert world.run_until(lambda: "go" in world.states("next"), 8 * SECOND)
     assert world.states("slow") == ["go", "halt", "over"]
-    assert last(world, "slow") == "the grant has run out"
+    assert last(world, "slow") == "the grant has expired"
     assert world.outcomes["slow"][1][0] < world.outcomes["next"][0][0]
     well(world)
 
@@ -581,28 +581,30 @@
     well(world)
 
 
-def test_a_node_takes_no_word_of_a_coordinator_that_is_over_and_no_token_below_one_it_has_seen() -> (
+def test_a_client_drops_messages_of_an_earlier_term_and_grants_below_a_token_it_has_seen() -> (
     None
 ):
     rules = rules_of(["n0", "n1", "n2"]).client
     client = FreezeClient("n5", rules, {})
     scope = parse_scope(ZONE_A)
 
-    def give(
-        id: str, token: tuple[int, int], asof: tuple[int, int], sent: int = 5
+    def grant(
+        id: str, token: tuple[int, int], as_of: tuple[int, int], sent_at: int = 5
     ) -> list[str]:
         client.receive(
             10,
-            "n1" if asof[0] == 2 else "n0",
-            GrantIssued(id, StateVersion(*token), StateVersion(*asof), sent, SECOND),
+            "n1" if as_of[0] == 2 else "n0",
+            GrantIssued(
+                id, StateVersion(*token), StateVersion(*as_of), sent_at, SECOND
+            ),
         )
         return [o.state for o in client.drain()]
 
     for id in "abcdef":
-        where = parse_scope(ZONE_B) if id == "e" else scope
+        own_scope = parse_scope(ZONE_B) if id == "e" else scope
         client.request(
             5,
-            RequestedChange(id, Change.SETTINGS, where, SECOND, wait_us=SECOND),
+            RequestedChange(id, Change.SETTINGS, own_scope, SECOND, wait_us=SECOND),
         )
     client.receive(
         6,
@@ -615,13 +617,13 @@
             [IncidentNotice("fire", parse_scope(ZONE_B), 3, "")],
         ),
     )
-    assert give("a", (1, 7), (1, 7)) == []
+    assert grant("a", (1, 7), (1, 7)) == []
     assert client.locator.stale_messages == 1
     client.receive(
         7, "n0", IncidentList(StateVersion(1, 20), StateVersion(1, 19), 0, 1, [])
-    )  # it does not know of the incident
+    )  # the earlier coordinator does not know of the incident
     assert [i.id for i in client.open_incidents()] == ["fire"]
-    assert give("b", (2, 12), (2, 12)) == ["go"]
+    assert grant("b", (2, 12), (2, 12)) == ["go"]
     client.receive(
         11,
         "n1",
@@ -633,7 +635,9 @@
             [IncidentNotice("a too", scope, 3, "")],
         ),
     )
-    assert [o.state for o in client.drain()] == ["halt"]  # by the news alone
+    assert [o.state for o in client.drain()] == [
+        "halt"
+    ]  # by the incident notification alone
     client.receive(
         12,
         "n1",
@@ -645,23 +649,25 @@
             [IncidentNotice("fire", parse_scope(ZONE_B), 3, "")],
         ),
     )
-    assert give("c", (2, 11), (2, 14)) == []  # given before; asked for anew
+    assert (
+        grant("c", (2, 11), (2, 14)) == []
+    )  # granted before token (2, 12); requested again
     assert client.pending["c"].message_id == "c~1"
     assert "c" in client.finishing
-    assert give("c~1", (2, 15), (2, 15)) == ["go"]
+    assert grant("c~1", (2, 15), (2, 15)) == ["go"]
     client.receive(
         12, "n1", Revocation("d", StateVersion(2, 16), StateVersion(2, 17), "incident")
     )
-    assert give("d", (2, 16), (2, 17)) == []
+    assert grant("d", (2, 16), (2, 17)) == []
     assert "d" not in client.active
-    assert give("e", (2, 20), (2, 20)) == []
+    assert grant("e", (2, 20), (2, 20)) == []
     assert client.pending["e"].reason == "an incident has opened"
     assert (
-        give("f", (2, 30), (2, 30), sent=10**9) == []
-    )  # by the clock of an earlier life
+        grant("f", (2, 30), (2, 30), sent_at=10**9) == []
+    )  # sent by the clock of an earlier incarnation
 
 
-def test_a_client_with_other_rules_asks_the_electors_that_they_name() -> None:
+def test_a_client_whose_rules_are_replaced_asks_the_new_electors() -> None:
     client = FreezeClient("n9", rules_of(["n0", "n1", "n2"]).client, {})
     client.set_rules(rules_of(["n3", "n4", "n5"]).client, {})
     change = RequestedChange("up", Change.UPGRADE, parse_scope("*"), SECOND)
@@ -673,19 +679,19 @@
     assert {send.to for send in sends} == {"n3", "n4", "n5"}
 
 
-def test_scopes_overlap_unless_something_that_both_name_differs() -> None:
+def test_scopes_overlap_unless_a_field_that_both_set_differs() -> None:
     regions = {"a": "north", "c": "south"}
 
-    def meet(a: str, b: str) -> bool:
+    def overlap(a: str, b: str) -> bool:
         return scopes_overlap(parse_scope(a), parse_scope(b), regions)
 
-    assert meet("*", "zone=a")
-    assert meet("zone=a", "tier=x")
-    assert meet("zone=a", "region=north")
-    assert not meet("zone=c", "region=north")
-    assert not meet("zone=a", "zone=c")
-    assert not meet("tier=x,zone=a", "tier=y")
-    assert meet("zone=unknown", "region=north")  # it may lie there
+    assert overlap("*", "zone=a")
+    assert overlap("zone=a", "tier=x")
+    assert overlap("zone=a", "region=north")
+    assert not overlap("zone=c", "region=north")
+    assert not overlap("zone=a", "zone=c")
+    assert not overlap("tier=x,zone=a", "tier=y")
+    assert overlap("zone=unknown", "region=north")  # its region is not known
     for bad in ("zone", "zone=", "place=a", "zone=" + "a" * 65):
         with pytest.raises(FreezeScopeError, match="scope is"):
             parse_scope(bad)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -21,7 +21,7 @@
 from loadbalancer.node.discovery.endpoint_list_codec import Line, Listing
 from loadbalancer.node.features import change_approval, lifecycle, registry
 from loadbalancer.node.features.feature import (
-    GO,
+    ALLOWED,
     Answer,
     Change,
     Feature,
@@ -601,7 +601,7 @@
     def on_change_requested(
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
-        then(GO)
+        then(ALLOWED)
 
 
 async def test_channels_and_the_store_are_had_anew_when_their_table_changes(
