--- a/loadbalancer/fault/faulty_transport.py
+++ b/loadbalancer/fault/faulty_transport.py
@@ -10,7 +10,7 @@
 
 from loadbalancer.fault.datagram_plan import DatagramPlan
 from loadbalancer.transports.base import BaseTransport
-from loadbalancer.transports.interface import Address, Received, Transport
+from loadbalancer.transports.interface import Address, DatagramReceiver, Transport
 
 CallLater = Callable[[float, Callable[[], object]], object]
 """A loop's `call_later`, or a schedule's."""
@@ -37,12 +37,12 @@
         elapsed_s: Callable[[], float],
         call_later: CallLater,
     ) -> None:
-        super().__init__(transport.largest)
+        super().__init__(transport.max_datagram_bytes)
         self.transport, self.plan = transport, plan
         self.name, self.name_of = name, name_of
         self.elapsed_s, self.call_later = elapsed_s, call_later
 
-    async def open(self, received: Received) -> Address:
+    async def open(self, received: DatagramReceiver) -> Address:
         """Opens it; returns its address."""
         self.check_unopened()
         return self.mark_open(received, await self.transport.open(self.deliver))
@@ -53,7 +53,7 @@
         Returns:
             Whether it was accepted.
         """
-        if not self.admits(data):
+        if not self.check_sendable(data):
             return False
         delays = self.plan.deliveries(self.name, self.name_of(to), self.elapsed_s())
         accepted = True
@@ -63,7 +63,7 @@
             else:
                 accepted = self._pass_on(data, to)
         if not accepted:
-            self.tally.drop("unreachable")
+            self.traffic.drop("unreachable")
             return False
         return self.count_sent(data)
 
--- a/loadbalancer/freeze/messages.py
+++ b/loadbalancer/freeze/messages.py
@@ -16,7 +16,7 @@
 from msgspec import Meta
 
 from loadbalancer.freeze.errors import FreezeMessageError
-from loadbalancer.transports.interface import LARGEST
+from loadbalancer.transports.interface import MAX_DATAGRAM_BYTES
 
 PROTOCOL_VERSION = 1
 MAX_COMMAND_BYTES = 900  # a replicated command must fit into one datagram
@@ -331,9 +331,9 @@
         FreezeMessageError: It is malformed, too large, of another protocol version, or has a value that is
             out of range.
     """
-    if len(data) > LARGEST:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise FreezeMessageError(
-            f"datagram of {len(data)} bytes exceeds the maximum of {LARGEST}"
+            f"datagram of {len(data)} bytes exceeds the maximum of {MAX_DATAGRAM_BYTES}"
         )
     try:
         datagram = _decoder.decode(data)
--- a/loadbalancer/lab/network.py
+++ b/loadbalancer/lab/network.py
@@ -12,7 +12,12 @@
 from dataclasses import dataclass, field
 
 from loadbalancer.transports.base import BaseTransport
-from loadbalancer.transports.interface import LARGEST, Address, Received, TransportError
+from loadbalancer.transports.interface import (
+    MAX_DATAGRAM_BYTES,
+    Address,
+    DatagramReceiver,
+    TransportError,
+)
 
 # Datagrams that wait for an end that stands still; what comes then is lost
 WAITING = 1_000
@@ -79,7 +84,9 @@
         self.ends: dict[Address, Emulated] = {}
         self.made = 0
 
-    def end(self, name: str = "", port: int = 0, largest: int = LARGEST) -> Emulated:
+    def end(
+        self, name: str = "", port: int = 0, largest: int = MAX_DATAGRAM_BYTES
+    ) -> Emulated:
         """An end that is not open yet; port 0 is one of its own. The network's faults know it by its name."""
         self.made += 1
         return Emulated(
@@ -106,10 +113,10 @@
         self.stands = False
         self.held: list[tuple[bytes, Address]] = []
 
-    async def open(self, received: Received) -> Address:
+    async def open(self, received: DatagramReceiver) -> Address:
         return self.listen(received)
 
-    def listen(self, received: Received) -> Address:
+    def listen(self, received: DatagramReceiver) -> Address:
         """`open` for callers without an event loop."""
         self.check_unopened()
         if self.wish in self.network.ends:
@@ -120,11 +127,11 @@
         return self.mark_open(received, self.wish)
 
     def send(self, data: bytes, to: Address) -> bool:
-        if not self.admits(data):
+        if not self.check_sendable(data):
             return False
         assert self.local_address is not None
         if not self.network.carry(self, self.local_address, bytes(data), to):
-            self.tally.drop("unreachable")
+            self.traffic.drop("unreachable")
             return False
         return self.count_sent(data)
 
@@ -132,7 +139,7 @@
         if not self.stands:
             self.deliver(data, source)
         elif len(self.held) >= self.network.waiting:
-            self.tally.drop("full")
+            self.traffic.drop("full")
         else:
             self.held.append((data, source))
 
--- a/loadbalancer/lab/scale/added_within.py
+++ b/loadbalancer/lab/scale/added_within.py
@@ -568,7 +568,7 @@
 class _Nothing:
     """In a mux's place of a transport, for its mark alone."""
 
-    largest = 1400
+    max_datagram_bytes = 1400
 
 
 async def run_fleet(size: int, port: int, node_port: int, words: float) -> None:
--- a/loadbalancer/lab/scale/world_fleet.py
+++ b/loadbalancer/lab/scale/world_fleet.py
@@ -36,7 +36,7 @@
 from loadbalancer.records.messages import BUCKET_COUNT
 from loadbalancer.records.state import OwnerState, bucket_of
 from loadbalancer.records.table import RecordTable
-from loadbalancer.transports.interface import LARGEST, Address
+from loadbalancer.transports.interface import MAX_DATAGRAM_BYTES, Address
 
 SECOND = 1_000_000
 BEGIN = 1_000 * SECOND  # deciders take 0 for "never"
@@ -375,7 +375,8 @@
             partial(self.table_received, process),
         )
         process.ends = tuple(
-            Emulated(n, place.name, place.address, LARGEST) for n in self.networks
+            Emulated(n, place.name, place.address, MAX_DATAGRAM_BYTES)
+            for n in self.networks
         )
         for end, receiver in zip(process.ends, receivers, strict=True):
             end.listen(receiver)
--- a/loadbalancer/lab/swarm/shell.py
+++ b/loadbalancer/lab/swarm/shell.py
@@ -33,7 +33,7 @@
 from loadbalancer.node.metrics import Metrics
 from loadbalancer.node.udp import Udp
 from loadbalancer.policy.api import EndpointState, ListUpdateKind, Settings
-from loadbalancer.transports.interface import Address, Received, TransportError
+from loadbalancer.transports.interface import Address, DatagramReceiver, TransportError
 
 if TYPE_CHECKING:
     from loadbalancer.node.features.membership_host import MembershipHost
@@ -332,7 +332,7 @@
         super().__init__(listen)
         self.name, self.wire, self.view = name, wire, view
 
-    async def open(self, received: Received) -> Address:
+    async def open(self, received: DatagramReceiver) -> Address:
         self.check_unopened()
         made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
--- a/loadbalancer/node/features/endpoint_lines.py
+++ b/loadbalancer/node/features/endpoint_lines.py
@@ -171,7 +171,9 @@
         if request.target != own_version or not is_sendable or self.channel is None:
             return
         now_us = self.host.now()
-        parts = self._own_parts(request.target, own_lines, self.channel.largest)
+        parts = self._own_parts(
+            request.target, own_lines, self.channel.max_datagram_bytes
+        )
         self._budget.refill(now_us)
         for index in request.parts[: endpoint_transfer.WINDOW_PARTS]:
             if not 0 <= index < len(parts) or self._budget.available <= 0:
--- a/loadbalancer/node/features/feature.py
+++ b/loadbalancer/node/features/feature.py
@@ -22,7 +22,7 @@
 from loadbalancer.policy.api import ListUpdateKind, Outcome
 from loadbalancer.records.interface import Records
 from loadbalancer.stores.interface import Store
-from loadbalancer.transports.interface import Address, Received, Transport
+from loadbalancer.transports.interface import Address, DatagramReceiver, Transport
 
 if TYPE_CHECKING:
     from loadbalancer.config.operator_config import OperatorConfig
@@ -178,7 +178,7 @@
     def member_address(self, name: str) -> Address | None:
         """Where a member receives datagrams; None if it is not known."""
 
-    def channel(self, tag: int, received: Received) -> Transport:
+    def channel(self, tag: int, received: DatagramReceiver) -> Transport:
         """Opens a transport to the same feature of other members, on the membership's port.
 
         Args:
--- a/loadbalancer/node/features/host.py
+++ b/loadbalancer/node/features/host.py
@@ -30,7 +30,7 @@
 from loadbalancer.node.lifecycle.reload import RELOADED_FIELDS
 from loadbalancer.records.interface import Records
 from loadbalancer.stores.interface import Store
-from loadbalancer.transports.interface import Address, Received, Transport
+from loadbalancer.transports.interface import Address, DatagramReceiver, Transport
 
 if TYPE_CHECKING:
     from loadbalancer.node.config import Config
@@ -248,7 +248,7 @@
         member = swim.members.get(name) if swim is not None else None
         return (member.host, member.port) if member is not None else None
 
-    def channel(self, tag: int, received: Received) -> Transport:
+    def channel(self, tag: int, received: DatagramReceiver) -> Transport:
         """Opens a transport on the membership's port, which ends with the membership.
 
         Raises:
--- a/loadbalancer/node/features/records.py
+++ b/loadbalancer/node/features/records.py
@@ -14,7 +14,7 @@
 from loadbalancer.records.interface import Record
 from loadbalancer.records.outbox import SendDatagram
 from loadbalancer.records.table import RecordTable
-from loadbalancer.transports.interface import Address, Received, Transport
+from loadbalancer.transports.interface import Address, DatagramReceiver, Transport
 
 CHANNEL_TAG = 1
 
@@ -34,7 +34,10 @@
     """
 
     def __init__(
-        self, name: str, seed: int, channel: Callable[[int, Received], Transport]
+        self,
+        name: str,
+        seed: int,
+        channel: Callable[[int, DatagramReceiver], Transport],
     ) -> None:
         self.table = RecordTable(name, seed, now_us=monotonic_us())
         self.timer: asyncio.TimerHandle | None = None
--- a/loadbalancer/node/features/resources.py
+++ b/loadbalancer/node/features/resources.py
@@ -16,7 +16,7 @@
 from loadbalancer.stores.factory import open_store
 from loadbalancer.stores.interface import Store, StoreError
 from loadbalancer.stores.shared import SharedStore
-from loadbalancer.transports.interface import Received, Transport
+from loadbalancer.transports.interface import DatagramReceiver, Transport
 
 if TYPE_CHECKING:
     from loadbalancer.node.features.host import NodeFeatureHost
@@ -52,7 +52,7 @@
         self.channels: dict[str, list[Transport]] = {}
         self._store: Store | None = None  # while some feature uses it
 
-    def channel(self, tag: int, received: Received) -> Transport:
+    def channel(self, tag: int, received: DatagramReceiver) -> Transport:
         """Opens a channel for a feature; it ends with the membership.
 
         Raises:
--- a/loadbalancer/node/udp.py
+++ b/loadbalancer/node/udp.py
@@ -9,10 +9,10 @@
 
 from loadbalancer.transports.base import BaseTransport
 from loadbalancer.transports.interface import (
-    LARGEST,
+    MAX_DATAGRAM_BYTES,
     Address,
     Counters,
-    Received,
+    DatagramReceiver,
     TransportError,
 )
 
@@ -28,14 +28,14 @@
 class Udp(BaseTransport, asyncio.DatagramProtocol):
     """One socket. Only numeric addresses are sent to: no name is ever looked up on the node's loop."""
 
-    def __init__(self, listen: Address, largest: int = LARGEST) -> None:
+    def __init__(self, listen: Address, largest: int = MAX_DATAGRAM_BYTES) -> None:
         super().__init__(largest)
         self.listen = listen
         self.transport: Any = None  # an asyncio.DatagramTransport
         self._send_errors = 0  # reported by the socket
         self._receive_drops = 0  # datagrams that found the socket's buffer full
 
-    async def open(self, received: Received) -> Address:
+    async def open(self, received: DatagramReceiver) -> Address:
         """Binds the socket; a TransportError if the address cannot be had."""
         self.check_unopened()
         where = "{}:{}".format(*self.listen)
@@ -55,7 +55,7 @@
     def counters(self) -> Counters:
         """What went through so far."""
         self._count_receive_drops()
-        return self.tally
+        return self.traffic
 
     def _count_receive_drops(self) -> None:
         """Adds the datagrams that the system dropped while the loop did not read."""
@@ -70,17 +70,17 @@
         except (OSError, struct.error):  # this system does not count them
             return
         if drops > self._receive_drops:
-            dropped = self.tally.dropped
+            dropped = self.traffic.dropped
             more = drops - self._receive_drops
             dropped["full"] = dropped.get("full", 0) + more
             self._receive_drops = drops
 
     def send(self, data: bytes, to: Address) -> bool:
         """Sends at once, or buffers; False if the datagram was dropped, and counted."""
-        if not self.admits(data):
+        if not self.check_sendable(data):
             return False
         if self.transport.get_write_buffer_size() + len(data) > MAX_BUFFERED_BYTES:
-            self.tally.drop("full")
+            self.traffic.drop("full")
             return False
         errors_before = self._send_errors
         try:
@@ -91,7 +91,7 @@
             # Gossip may hold addresses that no socket can send to.
             self._send_errors += 1
         if self._send_errors != errors_before:
-            self.tally.drop("unreachable")
+            self.traffic.drop("unreachable")
             return False
         return self.count_sent(data)
 
--- a/loadbalancer/stores/common.py
+++ b/loadbalancer/stores/common.py
@@ -42,6 +42,6 @@
 def full_error(wanted_bytes: int, max_bytes: int, where: str) -> StoreFullError:
     """Returns the error of a write that would bring the bytes in use to `wanted_bytes`."""
     return StoreFullError(
-        f"the write needs {wanted_bytes} bytes in all, more than the store's bound of {max_bytes}",
+        f"{wanted_bytes} bytes in all would exceed the store's bound of {max_bytes}",
         where,
     )
--- a/loadbalancer/stores/directory.py
+++ b/loadbalancer/stores/directory.py
@@ -453,7 +453,7 @@
         if state.next < next_number or first > state.first:
             raise corrupt(
                 f"has entries {first} to {state.next - 1}"
-                f" but should have at least {state.first} to {next_number - 1}",
+                f" but should have {state.first} to {next_number - 1} at least",
                 self._path_of(f"{log}.*.log"),
             )
 
--- a/loadbalancer/stores/sqlite.py
+++ b/loadbalancer/stores/sqlite.py
@@ -112,9 +112,7 @@
         (version,) = db.execute("PRAGMA user_version").fetchone()
         is_fresh = db.execute("SELECT count(*) FROM sqlite_schema").fetchone() == (0,)
         if version != (0 if is_fresh else user_version(version & VERSION_MASK)):
-            raise self._corrupt(
-                f"has a user_version of {version}, which is not a valid format version"
-            )
+            raise self._corrupt(f"has an invalid user_version of {version}")
         if version & VERSION_MASK > FORMAT_VERSION:
             raise StoreVersionError(
                 f"has format version {version & VERSION_MASK}, this program supports up to {FORMAT_VERSION}",
--- a/loadbalancer/transports/__init__.py
+++ b/loadbalancer/transports/__init__.py
@@ -1,1 +1,1 @@
-"""Datagrams between nodes: one small interface, and the ways that they can go."""
+"""Transports that carry datagrams between nodes: the interface, shared code, and two implementations."""
--- a/loadbalancer/transports/base.py
+++ b/loadbalancer/transports/base.py
@@ -1,79 +1,89 @@
-"""What all transports have in common: counters, the size limit, and the states unopened, open, closed."""
+"""Base class of the transports: counters, the size limit, and the states unopened, open and closed."""
 
 from __future__ import annotations
 
 from loadbalancer.transports.interface import (
-    LARGEST,
+    MAX_DATAGRAM_BYTES,
     Address,
     Counters,
-    Received,
+    DatagramReceiver,
     TransportError,
 )
 
 
 class BaseTransport:
-    """Base of the implementations. What arrives while it is not open is dropped and counted."""
+    """Base of the implementations. Datagrams that arrive while it is not open are dropped and counted.
 
-    def __init__(self, largest: int = LARGEST) -> None:
-        self.largest = largest
-        self.tally = Counters()
+    Attributes:
+        max_datagram_bytes: Maximum size of a datagram in bytes.
+        traffic: Counters of this transport.
+        local_address: Address at which others reach it; None unless it is open.
+        receiver: Called with each datagram received; None unless it is open.
+        is_closed: Whether it has been closed.
+    """
+
+    def __init__(self, max_datagram_bytes: int = MAX_DATAGRAM_BYTES) -> None:
+        self.max_datagram_bytes = max_datagram_bytes
+        self.traffic = Counters()
         self.local_address: Address | None = None
-        self.receiver: Received | None = None
+        self.receiver: DatagramReceiver | None = None
         self.is_closed = False
 
     @property
     def counters(self) -> Counters:
-        """What went through so far."""
-        return self.tally
+        """Counters of the datagrams sent, received and dropped so far."""
+        return self.traffic
 
     @property
     def address(self) -> Address | None:
-        """Where others reach it; None unless it is open."""
+        """Address at which others reach the transport; None unless it is open."""
         return self.local_address
 
     def check_unopened(self) -> None:
-        """Raises TransportError if it was opened or closed before."""
+        """Raises TransportError if the transport is open or has been closed."""
         if self.local_address is not None or self.is_closed:
             raise TransportError(
-                "this end was opened before",
-                remedy="report it as a fault of the program: a part must take a new end",
+                "this transport has already been opened or closed",
+                remedy="report it as a fault of the program: a feature must open a new transport",
             )
 
-    def mark_open(self, receiver: Received, address: Address) -> Address:
-        """Begins to deliver to `receiver`; returns the address."""
+    def mark_open(self, receiver: DatagramReceiver, address: Address) -> Address:
+        """Starts to deliver datagrams to `receiver`; returns the address."""
         self.receiver, self.local_address = receiver, address
         return address
 
     def mark_closed(self) -> None:
-        """Delivers nothing more."""
+        """Stops the delivery of datagrams."""
         self.is_closed, self.local_address, self.receiver = True, None, None
 
-    def admits(self, data: bytes) -> bool:
-        """Whether a datagram may be sent; if not, it is counted as dropped."""
+    def check_sendable(self, data: bytes) -> bool:
+        """Returns whether a datagram may be sent; otherwise counts it as dropped."""
         reason = ""
         if self.local_address is None:
             reason = "closed"
         elif not data:
-            reason = "empty"  # some networks carry them and some do not: so none does
-        elif len(data) > self.largest:
+            reason = (
+                "empty"  # not all networks carry empty datagrams, so no transport does
+            )
+        elif len(data) > self.max_datagram_bytes:
             reason = "too large"
         if reason:
-            self.tally.drop(reason)
+            self.traffic.drop(reason)
         return not reason
 
     def count_sent(self, data: bytes) -> bool:
-        """Counts a datagram as sent; True, as `send` returns it."""
-        self.tally.sent += 1
-        self.tally.sent_bytes += len(data)
+        """Counts a datagram as sent; returns True as the result of `send`."""
+        self.traffic.sent += 1
+        self.traffic.sent_bytes += len(data)
         return True
 
     def deliver(self, data: bytes, source: Address) -> None:
-        """Hands a datagram from the network to the receiver."""
+        """Passes a datagram from the network to the receiver, or counts it as dropped."""
         if self.local_address is None or self.receiver is None:
-            self.tally.drop("closed")
-        elif len(data) > self.largest:
-            self.tally.drop("too large")  # sent by something else than this program
+            self.traffic.drop("closed")
+        elif len(data) > self.max_datagram_bytes:
+            self.traffic.drop("too large")  # from another program: this one sends none
         else:
-            self.tally.received += 1
-            self.tally.received_bytes += len(data)
+            self.traffic.received += 1
+            self.traffic.received_bytes += len(data)
             self.receiver(data, source)
--- a/loadbalancer/transports/interface.py
+++ b/loadbalancer/transports/interface.py
@@ -1,8 +1,9 @@
-"""What a transport of datagrams promises, whatever carries them.
+"""The interface of datagram transports, and the guarantees of every implementation.
 
-A datagram arrives whole or not at all, perhaps twice, perhaps in another order; a sender learns nothing of
-its end. All calls are made on one thread, `received` is called on the same one, never from within `send`.
-`tests/contracts/test_transports.py` holds every implementation to this page.
+A datagram arrives complete or not at all; datagrams may be duplicated or reordered. The sender is not
+notified of their delivery. All calls must be made on one thread. The receiver is called on the same thread,
+and never during a call of `send`. `tests/contracts/test_transports.py` checks these guarantees for every
+implementation.
 """
 
 from __future__ import annotations
@@ -13,27 +14,34 @@
 
 from loadbalancer.errors import LoadBalancerError
 
-Address = tuple[str, int]
-Received = Callable[[bytes, Address], None]
+Address = tuple[str, int]  # host and port
+DatagramReceiver = Callable[[bytes, Address], None]  # called with data and source
 
-LARGEST = 1_400  # bytes of a datagram: whole in one packet on any network in use
+MAX_DATAGRAM_BYTES = (
+    1_400  # fits into one packet, without fragmentation, on any network in use
+)
 
 
 class TransportError(LoadBalancerError):
-    """An address that cannot be had, or an end that is opened twice or after its close."""
+    """The address of a transport cannot be used, or the transport is opened twice or after its close."""
 
     remedy: ClassVar[str] = (
-        "look at `listen` in the operators' file: the address must be one of this machine's, and no other"
-        " program may hold its port (`ss -lunp` shows who does); the node goes on trying"
+        "check `listen` in the operator configuration: the address must be one of this machine's, and no"
+        " other program may use its port (`ss -lunp` lists them); the node tries again until it succeeds"
     )
 
 
 @dataclass
 class Counters:
-    """What went through, and what was dropped, by reason.
-
-    Reasons are "empty", "too large", "closed", "unreachable" and "full"; behind a `Mux` also "foreign" and
-    "unknown tag".
+    """Counters of one transport.
+
+    Attributes:
+        sent: Datagrams sent.
+        sent_bytes: Bytes of these.
+        received: Datagrams received.
+        received_bytes: Bytes of these.
+        dropped: Datagrams dropped by reason: "empty", "too large", "closed", "unreachable" and "full", with a
+            `Mux` also "foreign" and "unknown tag".
     """
 
     sent: int = 0
@@ -48,36 +56,44 @@
 
 
 class Transport(Protocol):
-    """One end that sends and receives datagrams."""
+    """Sends and receives datagrams at one address.
+
+    Attributes:
+        max_datagram_bytes: Maximum size of a datagram in bytes. A larger datagram is dropped and counted,
+            never truncated; an empty one is dropped as well.
+    """
 
-    largest: int  # bytes; a larger datagram is dropped and counted, never cut; so is an empty one
+    max_datagram_bytes: int
 
     @property
     def counters(self) -> Counters:
-        """What went through this end so far."""
+        """Counters of the datagrams sent, received and dropped so far."""
 
     @property
     def address(self) -> Address | None:
-        """Where others reach this end; None before it is open and once it is closed."""
+        """Address at which others reach this transport; None before it is open and once it is closed."""
 
-    async def open(self, received: Received) -> Address:
-        """Begins to receive.
+    async def open(self, receiver: DatagramReceiver) -> Address:
+        """Starts to receive datagrams; returns the address.
 
         Once open or closed, a transport cannot be opened again.
 
+        Args:
+            receiver: Called with each datagram and the address of its sender.
+
         Raises:
-            TransportError: the address cannot be had; it may be tried again.
+            TransportError: The address cannot be used; the call may be repeated.
         """
 
     def send(self, data: bytes, to: Address) -> bool:
-        """Hands a datagram on at once, without waiting; never raises.
+        """Sends a datagram without waiting; never raises.
 
         Returns:
-            False if it was dropped here, and counted.
+            False if the datagram was dropped here, and counted.
         """
 
     def close(self) -> None:
-        """Closes it: what was handed on may still arrive elsewhere, nothing more is received.
+        """Closes the transport: nothing more is received; datagrams already sent may still arrive.
 
         A second call does nothing.
         """
--- a/tests/contracts/disk.py
+++ b/tests/contracts/disk.py
@@ -50,8 +50,8 @@
             if mode == "some" and rng.random() < 0.5:
                 apply_names(names, change)
         return {
-            name: partly_written(inode, rng) if mode == "some" else inode.durable
-            for name, inode in names.items()
+            file_name: partly_written(inode, rng) if mode == "some" else inode.durable
+            for file_name, inode in names.items()
         }
 
 
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -38,9 +38,9 @@
 )
 def test_an_invalid_name_is_refused_by_every_call(kind, folder, name):
     store = kind.open(folder, MAX_BYTES)
-    for method, arguments in CALLS.items():
+    for method, rest in CALLS.items():
         with pytest.raises(StoreError):
-            getattr(store, method)(name, *arguments)
+            getattr(store, method)(name, *rest)
     assert store.names() == ([], [])
 
 
@@ -64,7 +64,7 @@
     store.append("log", b"1")
     store.close()
     store.close()
-    calls = {method: ("log", *arguments) for method, arguments in CALLS.items()} | {
+    calls = {method: ("log", *rest) for method, rest in CALLS.items()} | {
         "names": (),
         "size": (),
     }
--- a/tests/contracts/test_transports.py
+++ b/tests/contracts/test_transports.py
@@ -1,4 +1,4 @@
-"""What `transports.interface` promises, asked of all implementations; a further one is a line in `KITS`."""
+"""The guarantees of `transports.interface` for all implementations; a further one is a line in `KITS`."""
 
 from __future__ import annotations
 
@@ -29,32 +29,36 @@
 from loadbalancer.lab.network import Network as Emulation
 from loadbalancer.lab.swarm.shell import HollowUdp, NodeLoop, Wire
 from loadbalancer.node.udp import MAX_BUFFERED_BYTES, Udp
-from loadbalancer.transports.interface import LARGEST, Address, TransportError
-from loadbalancer.transports.memory import Network
+from loadbalancer.transports.interface import (
+    MAX_DATAGRAM_BYTES,
+    Address,
+    TransportError,
+)
+from loadbalancer.transports.memory import MemoryNetwork
 from loadbalancer.transports.mux import CHANNEL_HEADER_BYTES, Mux
 
 SECOND = 1_000_000
-FLOOD = 3_000  # datagrams at once: more than any end lets wait
+FLOOD = 3_000  # datagrams sent at once: more than any transport buffers
 Log = list[tuple[bytes, Address]]
 
 
 class Kit:
-    """Makes ends of one implementation (`end`), and lets time pass between them. This one: UDP."""
+    """Creates transports (`end`) of one implementation and lets datagrams arrive (`settle`); here UDP."""
 
     def __init__(self, *rules: DatagramRule) -> None:
         self.plan = DatagramPlan(rules, 1)
         self.names: dict[Address, str] = {}
         self.opened: list[Any] = []
-        self.begin()
+        self.set_up()
 
-    def begin(self) -> None:
-        """Whatever an implementation needs for its ends."""
+    def set_up(self) -> None:
+        """Creates what the implementation needs for its transports."""
 
     def end(self, at: Address | None = None) -> Any:
         return Udp(at or ("127.0.0.1", 0))
 
     async def open(self, end: Any, received: Any) -> Address:
-        """Opens it; returns where others reach it. In a plan, ends are n0, n1, ... in this order."""
+        """Opens it; returns the address at which others reach it. Fault plans name them n0, n1 and so on."""
         here: Address = await end.open(received)
         self.opened.append(end)
         self.names[here] = f"n{len(self.names)}"
@@ -63,11 +67,11 @@
     async def settle(self) -> None:
         await asyncio.sleep(0.001)
 
-    def still(self, end: Any, still: bool) -> None:
-        """Keeps an end from reading; where nothing is read unless the loop runs there is nothing to do."""
+    def pause(self, end: Any, paused: bool) -> None:
+        """Pauses reading, or resumes it; does nothing where only the running loop reads."""
 
-    def lost(self, ends: list[Any]) -> int | None:
-        """How many datagrams are counted as lost because nobody read; None where not all are counted."""
+    def count_lost(self, ends: list[Any]) -> int | None:
+        """Returns the datagrams counted as lost because reading was paused; None if not all are counted."""
         return sum(e.counters.dropped.get("full", 0) for e in ends)
 
     def close(self) -> None:
@@ -76,25 +80,25 @@
 
 
 class LoopKit(Kit):
-    def begin(self) -> None:
-        self.network = Network(asyncio.get_running_loop().call_soon)
+    def set_up(self) -> None:
+        self.network = MemoryNetwork(asyncio.get_running_loop().call_soon)
 
     def end(self, at: Address | None = None) -> Any:
-        return self.network.end(*(at or ("memory", 0)))
+        return self.network.create_transport(*(at or ("memory", 0)))
 
 
 class PumpKit(LoopKit):
-    def begin(self) -> None:
-        super().begin()
-        self.network.soon = None
+    def set_up(self) -> None:
+        super().set_up()
+        self.network.call_soon = None
 
     async def settle(self) -> None:
         await super().settle()
-        self.network.pump()
+        self.network.deliver_pending()
 
 
 class EmulatedKit(Kit):
-    def begin(self) -> None:
+    def set_up(self) -> None:
         self.schedule = Schedule()
         self.network = Emulation(self.schedule, 1, Net(jitter=0))
 
@@ -102,15 +106,15 @@
         return self.network.end(port=at[1] if at else 0)
 
     async def settle(self) -> None:
-        await asyncio.sleep(0)  # lets the patience run out
+        await asyncio.sleep(0)  # lets a timeout expire
         self.schedule.run(self.schedule.now + SECOND)
 
-    def still(self, end: Any, still: bool) -> None:
-        self.network.ends[end.address].stand(still)
+    def pause(self, end: Any, paused: bool) -> None:
+        self.network.ends[end.address].stand(paused)
 
 
 class SharedKit(Kit):
-    """A part's channel on a UDP socket that parts share."""
+    """A feature's channel on a shared UDP socket."""
 
     def end(self, at: Address | None = None) -> Any:
         mux = Mux(super().end(at), "here")
@@ -125,28 +129,28 @@
         channel.open, channel.close = open, lambda: (closes(), mux.close())  # type: ignore[method-assign]
         return channel
 
-    def lost(self, ends: list[Any]) -> int | None:
-        return super().lost([e.mux.transport for e in ends])
+    def count_lost(self, ends: list[Any]) -> int | None:
+        return super().count_lost([e.mux.transport for e in ends])
 
 
 class HollowKit(Kit):
-    """The socket of one node of many in a process."""
+    """The socket of a hollow node, one of many nodes in a process."""
 
-    def begin(self) -> None:
+    def set_up(self) -> None:
         self.wire = Wire()
 
     def end(self, at: Address | None = None) -> Any:
         view = NodeLoop(asyncio.get_running_loop(), lambda what: None)
         return HollowUdp(at or ("127.0.0.1", 0), f"n{len(self.names)}", self.wire, view)
 
-    def still(self, end: Any, still: bool) -> None:
-        end.read(not still)
+    def pause(self, end: Any, paused: bool) -> None:
+        end.read(not paused)
 
 
 class ProxyKit(Kit):
-    """UDP through the fronts of the fault tool's datagram proxy."""
+    """UDP through the sockets of the fault tool's datagram proxy."""
 
-    def begin(self) -> None:
+    def set_up(self) -> None:
         self.proxy = DatagramProxy(self.plan, lambda line: None)
         self.proxy.start()
 
@@ -155,8 +159,8 @@
             f"n{len(self.proxy.members)}", await super().open(end, received)
         )
 
-    def lost(self, ends: list[Any]) -> int | None:
-        return None  # a front's socket loses some
+    def count_lost(self, ends: list[Any]) -> int | None:
+        return None  # the proxy's sockets lose some uncounted
 
     def close(self) -> None:
         super().close()
@@ -164,7 +168,7 @@
 
 
 def faulty(base: type[Any]) -> type[Any]:
-    """The same through the wrapper that strikes as a plan says."""
+    """Returns the same kit with transports that inject the faults of a plan."""
 
     class FaultyKit(base):  # type: ignore[misc]
         def end(self, at: Address | None = None) -> Any:
@@ -183,11 +187,11 @@
                 inner, self.plan, name, lambda to: self.names.get(to, "?"), *clock
             )
 
-        def still(self, end: Any, still: bool) -> None:
-            super().still(end.transport, still)
+        def pause(self, end: Any, paused: bool) -> None:
+            super().pause(end.transport, paused)
 
-        def lost(self, ends: list[Any]) -> int | None:
-            return super().lost([e.transport for e in ends])
+        def count_lost(self, ends: list[Any]) -> int | None:
+            return super().count_lost([e.transport for e in ends])
 
     return FaultyKit
 
@@ -215,33 +219,33 @@
             await kit.settle()
 
 
-async def quiet(kit: Any) -> None:
-    """Whatever is on its way has time to arrive."""
+async def let_datagrams_arrive(kit: Any) -> None:
+    """Waits until datagrams in flight have had time to arrive."""
     for _ in range(5):
         await kit.settle()
 
 
 async def listener(kit: Any) -> tuple[Any, Address, Log]:
-    end, heard = kit.end(), []  # type: ignore[var-annotated]
+    end, received = kit.end(), []  # type: ignore[var-annotated]
     return (
         end,
-        await kit.open(end, lambda data, source: heard.append((data, source))),
-        heard,
+        await kit.open(end, lambda data, source: received.append((data, source))),
+        received,
     )
 
 
 @pytest.fixture(params=KITS)
 async def kit(request: pytest.FixtureRequest) -> AsyncIterator[Any]:
-    """A test that takes it is one of every implementation."""
+    """A kit of each implementation in turn."""
     made = KITS[request.param]()
     yield made
     made.close()
 
 
-async def test_datagrams_arrive_whole_and_name_their_sender(kit: Any) -> None:
+async def test_datagrams_arrive_complete_with_their_sender(kit: Any) -> None:
     one, here, first = await listener(kit)
     two, there, second = await listener(kit)
-    told = [
+    datagrams = [
         bytes(range(256)),
         b"\x00",
         b"\x07" + b"\xff" * 9,
@@ -249,43 +253,44 @@
         b"\r\n\x00 text",
         b"a" * 999,
     ]
-    assert all(one.send(data, there) for data in told)
-    await until(kit, lambda: len(second) == len(told))
-    assert second == [(data, here) for data in told]
+    assert all(one.send(data, there) for data in datagrams)
+    await until(kit, lambda: len(second) == len(datagrams))
+    assert second == [(data, here) for data in datagrams]
     assert two.send(b"back", second[0][1])
     await until(kit, lambda: bool(first))
     assert first == [(b"back", there)]
     assert (one.counters.sent, one.counters.sent_bytes) == (
-        len(told),
-        sum(map(len, told)),
+        len(datagrams),
+        sum(map(len, datagrams)),
     )
     assert (two.counters.received, two.counters.received_bytes) == (
-        len(told),
-        sum(map(len, told)),
+        len(datagrams),
+        sum(map(len, datagrams)),
     )
 
 
-async def test_an_address_in_use_is_refused_and_may_be_tried_again(kit: Any) -> None:
+async def test_an_address_in_use_is_refused_and_can_be_opened_later(kit: Any) -> None:
     one, _, _ = await listener(kit)
-    where, rival = one.address, kit.end(one.address)
+    address, second_opener = one.address, kit.end(one.address)
     with pytest.raises(TransportError) as found:
-        await rival.open(lambda data, source: None)
+        await second_opener.open(lambda data, source: None)
     assert found.value.advice
-    assert rival.address is None
+    assert second_opener.address is None
     one.close()
-    await quiet(kit)
-    assert await rival.open(lambda data, source: None) == where  # it may be tried again
+    await let_datagrams_arrive(kit)
+    # A failed call of `open` may be repeated.
+    assert await second_opener.open(lambda data, source: None) == address
 
 
-async def test_peers_that_cannot_be_reached_harm_nobody(kit: Any) -> None:
+async def test_unreachable_peers_do_not_affect_others(kit: Any) -> None:
     one, _, _ = await listener(kit)
     gone, place, _ = await listener(kit)
     _, there, second = await listener(kit)
     gone.close()
-    await quiet(kit)
+    await let_datagrams_arrive(kit)
     for _ in range(20):
-        one.send(b"to nobody", place)  # True or False: nobody can tell
-    await quiet(kit)
+        one.send(b"to nobody", place)  # either result is allowed
+    await let_datagrams_arrive(kit)
     before = sum(one.counters.dropped.values())
     local = "127.0.0.1"
     for host, port in (
@@ -323,33 +328,36 @@
     assert within == []
 
 
-async def test_a_receiver_that_does_not_read_is_bounded_and_counted(kit: Any) -> None:
+async def test_the_buffer_of_a_paused_receiver_is_bounded_and_losses_are_counted(
+    kit: Any,
+) -> None:
     one, _, _ = await listener(kit)
     two, there, second = await listener(kit)
-    kit.still(two, True)
+    kit.pause(two, True)
     for _ in range(FLOOD):
-        one.send(b"e" * one.largest, there)
+        one.send(b"e" * one.max_datagram_bytes, there)
     if hasattr(kit, "schedule"):
         await kit.settle()
     assert second == []
-    kit.still(two, False)
+    kit.pause(two, False)
     one.send(b"and now", there)
-    while not second or second[-1][0] != b"and now":  # it may have found no room
-        await quiet(kit)
+    # The marker is repeated, as it may have found the buffer full.
+    while not second or second[-1][0] != b"and now":
+        await let_datagrams_arrive(kit)
         one.send(b"and now", there)
-        await quiet(kit)
+        await let_datagrams_arrive(kit)
     count = sum(data != b"and now" for data, _ in second)
-    assert 0 < count < FLOOD  # bounded: what nobody reads is not kept for ever
-    if (lost := kit.lost([one, two])) is not None:
+    assert 0 < count < FLOOD  # bounded: unread datagrams are not kept without limit
+    if (lost := kit.count_lost([one, two])) is not None:
         assert (
             FLOOD <= count + lost <= FLOOD + 5
-        )  # and counted, with markers that found no room
+        )  # counted, including markers that found the buffer full
 
 
-async def struck(
+async def send_with_faults(
     kind: str, count: int, *rules: DatagramRule
 ) -> tuple[list[bytes], ...]:
-    """What n0 sent, and what n1 and n0 then received of it and of the same sent back."""
+    """Sends datagrams from n0 to n1 and back; returns those sent, and what n1 and n0 received."""
     kit = FAULTS[kind](*rules)
     one, here, first = await listener(kit)
     two, there, second = await listener(kit)
@@ -367,45 +375,45 @@
 
 
 @pytest.mark.parametrize("kind", FAULTS)
-async def test_faults_lose_repeat_and_reorder_whole_datagrams(kind: str) -> None:
-    sent, there, back = await struck(
+async def test_faults_lose_duplicate_and_reorder_complete_datagrams(kind: str) -> None:
+    sent, there, back = await send_with_faults(
         kind, 100, DatagramRule("loss", target=["n1"], rate=0.5)
     )
     assert there == [d for d in sent if d in there]
     assert 20 < len(there) < 80
     assert back == sent
-    sent, there, back = await struck(
+    sent, there, back = await send_with_faults(
         kind, 40, DatagramRule("duplicate", source=["n0"], delay_ms=1.0)
     )
     assert Counter(there) == Counter(sent * 2)
     assert back == sent
     late = DatagramRule("reorder", source=["n0"], rate=0.3, delay_ms=20.0)
-    sent, there, back = await struck(kind, 40, late)
+    sent, there, back = await send_with_faults(kind, 40, late)
     assert sorted(there) == sent != there
     assert back == sent
-    sent, there, back = await struck(
+    sent, there, back = await send_with_faults(
         kind, 20, DatagramRule("cut", source=["n0"], target=["n1"])
     )
     assert there == []
     assert back == sent
 
 
-async def test_a_larger_datagram_from_elsewhere_is_dropped_and_counted() -> None:
+async def test_a_larger_datagram_of_another_program_is_dropped_and_counted() -> None:
     kit = Kit()
     two, there, second = await listener(kit)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        stranger.sendto(b"f" * (LARGEST + 1), there)
-        stranger.sendto(b"g" * LARGEST, there)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as foreign_socket:
+        foreign_socket.sendto(b"f" * (MAX_DATAGRAM_BYTES + 1), there)
+        foreign_socket.sendto(b"g" * MAX_DATAGRAM_BYTES, there)
     await until(kit, lambda: bool(second))
-    assert [d for d, _ in second] == [b"g" * LARGEST]
+    assert [d for d, _ in second] == [b"g" * MAX_DATAGRAM_BYTES]
     assert two.counters.dropped == {"too large": 1}
 
 
-async def test_what_no_socket_takes_is_bounded_and_counted() -> None:
+async def test_datagrams_that_the_socket_refuses_are_dropped_and_counted() -> None:
     end, there, _ = await listener(Kit())
     assert not end.send(
         b"g", ("255.255.255.255", 9)
-    )  # the socket says no, and the loop does not raise
+    )  # the socket reports an error, and the loop does not raise
     held, end.transport = (
         end.transport,
         SimpleNamespace(get_write_buffer_size=lambda: MAX_BUFFERED_BYTES),
@@ -415,7 +423,7 @@
     assert end.counters.dropped == {"unreachable": 1, "full": 1}
 
 
-async def test_an_end_that_is_closed_while_it_opens_holds_no_port() -> None:
+async def test_a_transport_that_is_closed_while_it_opens_releases_its_port() -> None:
     end = Udp(("127.0.0.1", 0))
     opening = asyncio.ensure_future(end.open(lambda data, source: None))
     await asyncio.sleep(0)
@@ -426,47 +434,58 @@
     assert end.transport is None
 
 
-async def test_parts_that_share_a_transport_hear_their_own_and_no_foreign_cluster() -> (
+async def test_channels_of_a_shared_transport_receive_only_their_own_datagrams() -> (
     None
 ):
-    network = Network()
-    heard: dict[str, list[bytes]] = {"own": [], "part": [], "twin": [], "raw": []}
+    network = MemoryNetwork()
+    received: dict[str, list[bytes]] = {
+        "own": [],
+        "channel": [],
+        "other": [],
+        "raw": [],
+    }
 
     def into(name: str) -> Any:
-        return lambda data, source: heard[name].append(data)
+        return lambda data, source: received[name].append(data)
 
-    here, there, abroad = (Mux(network.end(), c) for c in ("home", "home", "abroad"))
-    place, raw = await there.open(into("own")), await network.end().open(into("raw"))
+    here, there, abroad = (
+        Mux(network.create_transport(), c) for c in ("home", "home", "abroad")
+    )
+    place, raw = (
+        await there.open(into("own")),
+        await network.create_transport().open(into("raw")),
+    )
     for end in (here, abroad):
         await end.open(into("own"))
-    there.channel(5, into("part"))
-    there.channel(6, into("twin"))
+    there.channel(5, into("channel"))
+    there.channel(6, into("other"))
     five, nine, foreign = (
-        here.channel(5, into("part")),
-        here.channel(9, into("part")),
+        here.channel(5, into("channel")),
+        here.channel(9, into("channel")),
         abroad.channel(5),
     )
-    await foreign.open(into("part"))
+    await foreign.open(into("channel"))
     assert here.send(b"\x96 membership", place)
     assert five.send(b"five", place)
-    assert nine.send(b"nobody's", place)
+    assert nine.send(b"unused tag", place)
     assert foreign.send(b"foreign", place)
     assert not here.send(b"\x05 not mine", place)
     assert here.send(b"\x96 membership", raw)
     assert five.send(b"five", raw)
-    network.pump()
-    assert heard["own"] == [b"\x96 membership"]
-    assert heard["part"] == [b"five"]
-    assert heard["twin"] == []
+    network.deliver_pending()
+    assert received["own"] == [b"\x96 membership"]
+    assert received["channel"] == [b"five"]
+    assert received["other"] == []
     assert there.counters.dropped == {"unknown tag": 1, "foreign": 1}
-    assert heard["raw"][0] == b"\x96 membership"  # as without parts, byte for byte
-    assert heard["raw"][1][0] == 5
-    assert len(heard["raw"][1]) == CHANNEL_HEADER_BYTES + 4
-    for wrong in (0, 128, 5):
+    # The same bytes as without channels
+    assert received["raw"][0] == b"\x96 membership"
+    assert received["raw"][1][0] == 5
+    assert len(received["raw"][1]) == CHANNEL_HEADER_BYTES + 4
+    for invalid_tag in (0, 128, 5):
         with pytest.raises(ValueError):
-            here.channel(wrong, into("part"))
+            here.channel(invalid_tag, into("channel"))
     five.close()
-    assert here.channel(5, into("part")).address == here.address
+    assert here.channel(5, into("channel")).address == here.address
     here.close()
     assert nine.address is None
     assert not nine.send(b"late", place)
@@ -475,40 +494,40 @@
 SIZES = [0, 8, 500, "largest", "over", 70_000]
 
 
-class Modelled:
-    """One end, and what should have become of it."""
+class ModelledTransport:
+    """A transport and its expected state."""
 
     def __init__(self, end: Any) -> None:
         self.end, self.place, self.state = end, ("", 0), "new"
-        self.heard: Log = []
-        self.due: Log = []  # must have arrived once all has settled
+        self.received: Log = []
+        self.due: Log = []  # must have arrived after `settle`
         self.sent = 0
         self.dropped: Counter[str] = Counter()
 
 
-class Ends(RuleBasedStateMachine):
-    """Ends that open, send and close in any order."""
+class TransportMachine(RuleBasedStateMachine):
+    """Transports that open, send and close in any order."""
 
     kind = "memory"
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = uvloop.new_event_loop()
-        self.ends: list[Modelled] = []
-        self.made = 0
+        self.ends: list[ModelledTransport] = []
+        self.sent_count = 0
         self.kit = self.run(lambda: KITS[self.kind]())
         self.make(True)
         self.make(True)
 
-    def run(self, what: Callable[[], Any]) -> Any:
-        """Calls it on the loop, and awaits what it gives if it can be awaited."""
+    def run(self, function: Callable[[], Any]) -> Any:
+        """Calls the function on the loop; awaits its result if that is a coroutine."""
 
         async def called() -> Any:
-            found = what()
+            result = function()
             return (
-                await asyncio.wait_for(found, PATIENCE)
-                if asyncio.iscoroutine(found)
-                else found
+                await asyncio.wait_for(result, PATIENCE)
+                if asyncio.iscoroutine(result)
+                else result
             )
 
         return self.loop.run_until_complete(called())
@@ -516,9 +535,11 @@
     @rule(opens=st.booleans())
     def make(self, opens: bool) -> None:
         if len(self.ends) < 6:
-            self.ends.append(Modelled(self.run(self.kit.end)))
+            self.ends.append(ModelledTransport(self.run(self.kit.end)))
             assert (
-                LARGEST - CHANNEL_HEADER_BYTES <= self.ends[-1].end.largest <= LARGEST
+                MAX_DATAGRAM_BYTES - CHANNEL_HEADER_BYTES
+                <= self.ends[-1].end.max_datagram_bytes
+                <= MAX_DATAGRAM_BYTES
             )
             if opens:
                 self.open(-1)
@@ -528,67 +549,70 @@
         m = self.ends[a % len(self.ends)]
         if m.state == "new":
             m.place = self.run(
-                lambda: self.kit.open(m.end, lambda *heard: m.heard.append(heard))
+                lambda: self.kit.open(
+                    m.end, lambda *received: m.received.append(received)
+                )
             )
             m.state = "open"
-        else:  # once, also after its end
+        else:  # it can be opened only once, also after its close
             with pytest.raises(TransportError):
                 self.run(lambda: m.end.open(lambda data, source: None))
 
     @rule(a=st.integers(0, 5), b=st.integers(0, 5), size=st.sampled_from(SIZES))
     def send(self, a: int, b: int, size: Any) -> None:
-        one, two, self.made = (
+        one, two, self.sent_count = (
             self.ends[a % len(self.ends)],
             self.ends[b % len(self.ends)],
-            self.made + 1,
-        )
-        length = {"largest": one.end.largest, "over": one.end.largest + 1}.get(
-            size, size
+            self.sent_count + 1,
         )
-        data = (b"%08d" % self.made + bytes(length))[:length]
-        went = one.end.send(data, two.place)
-        one.sent += went
-        wrong = (
+        length = {
+            "largest": one.end.max_datagram_bytes,
+            "over": one.end.max_datagram_bytes + 1,
+        }.get(size, size)
+        data = (b"%08d" % self.sent_count + bytes(length))[:length]
+        accepted = one.end.send(data, two.place)
+        one.sent += accepted
+        drop_reason = (
             "closed"
             if one.state != "open"
             else "too large"
-            if length > one.end.largest
+            if length > one.end.max_datagram_bytes
             else ""
         )
-        if wrong or not length:
-            assert not went
-            one.dropped[wrong or "empty"] += 1
+        if drop_reason or not length:
+            assert not accepted
+            one.dropped[drop_reason or "empty"] += 1
         elif two.state == "open":
-            assert went
+            assert accepted
             two.due.append((data, one.place))
-        elif not went:
+        elif not accepted:
             one.dropped["unreachable"] += 1
 
     @rule(a=st.integers(0, 5))
     def close(self, a: int) -> None:
         m = self.ends[a % len(self.ends)]
         m.end.close()
-        m.due, m.state = list(m.heard), "closed"  # what was on its way to it is lost
+        # Datagrams in flight to it are lost.
+        m.due, m.state = list(m.received), "closed"
 
     @rule()
     def settle(self) -> None:
         self.run(
             lambda: until(
-                self.kit, lambda: all(len(m.heard) >= len(m.due) for m in self.ends)
+                self.kit, lambda: all(len(m.received) >= len(m.due) for m in self.ends)
             )
         )
-        self.run(lambda: quiet(self.kit))
-        assert all(
-            m.heard == m.due for m in self.ends
-        )  # whole, once and in order, without faults
+        self.run(lambda: let_datagrams_arrive(self.kit))
+        # Complete, once and in order, as there are no faults
+        assert all(m.received == m.due for m in self.ends)
 
     @invariant()
-    def counted(self) -> None:
+    def counters_match(self) -> None:
         for m in self.ends:
             counters = m.end.counters
             assert (m.end.address is not None) == (m.state == "open")
             assert (counters.sent, counters.dropped) == (m.sent, m.dropped)
-            assert counters.received == len(m.heard)
+            assert counters.received == len(m.received)
 
     def teardown(self) -> None:
         self.settle()
@@ -598,9 +622,9 @@
 
 
 @pytest.mark.parametrize("kind", KITS)
-def test_any_order_of_calls_keeps_the_promises(kind: str) -> None:
-    machine = type("Drawn", (Ends,), {"kind": kind})
-    bounds = settings(
+def test_any_order_of_calls_keeps_the_guarantees(kind: str) -> None:
+    machine = type("TransportMachineOfKind", (TransportMachine,), {"kind": kind})
+    test_settings = settings(
         derandomize=True, max_examples=12, stateful_step_count=20, deadline=None
     )
-    run_state_machine_as_test(machine, settings=bounds)
+    run_state_machine_as_test(machine, settings=test_settings)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -61,7 +61,7 @@
 class FakeHost:
     """One node's host; `self` is the records, the channel and the discovery at the same time."""
 
-    largest = 1_300
+    max_datagram_bytes = 1_300
 
     def __init__(
         self, net: Net, name: str, wish: dict[str, Any], store: Store | None = None
@@ -114,7 +114,7 @@
         return self
 
     def send(self, data: bytes, to: tuple[str, int]) -> bool:
-        assert len(data) <= self.largest
+        assert len(data) <= self.max_datagram_bytes
         if to[0] in self.net.hosts:
             self.loop.call_soon(self.net.hosts[to[0]].received, data, (self.name, 1))
         return True
--- a/tests/test_freeze_host.py
+++ b/tests/test_freeze_host.py
@@ -35,7 +35,7 @@
 from loadbalancer.records.interface import Record
 from loadbalancer.stores.interface import StoreCorruptError, StoreFullError
 from loadbalancer.stores.memory import MemoryStore
-from loadbalancer.transports.interface import Received
+from loadbalancer.transports.interface import DatagramReceiver
 
 TABLE = {
     "electors": ["n0", "n1", "n2"],
@@ -109,7 +109,7 @@
     def member_address(self, name: str) -> tuple[str, int]:
         return name, 1
 
-    def channel(self, tag: int, received: Received) -> Any:
+    def channel(self, tag: int, received: DatagramReceiver) -> Any:
         self.world.ends[self.name] = received
         return Wire(self.world, self.name)
 
@@ -126,7 +126,7 @@
 class World:
     def __init__(self, **table: Any) -> None:
         self.operation = build({"membership": {}, "freeze": {**TABLE, **table}}, "test")
-        self.ends: dict[str, Received] = {}
+        self.ends: dict[str, DatagramReceiver] = {}
         self.cut: set[str] = set()
         self.said: dict[tuple[str, str], bytes] = {}
         self.hosts: dict[str, Host] = {}
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -40,7 +40,7 @@
 from loadbalancer.spread import rate_report
 from loadbalancer.stores.directory import DirectoryStore
 from loadbalancer.stores.sqlite import SqliteStore
-from loadbalancer.transports.memory import Memory, Network
+from loadbalancer.transports.memory import MemoryNetwork, MemoryTransport
 from loadbalancer.transports.mux import Mux
 
 ROOT = Path(__file__).parent.parent
@@ -147,7 +147,7 @@
 
 
 def test_the_mark_of_a_cluster_on_a_shared_port_is_as_recorded():
-    mux = Mux(Memory(Network(), ("n0", 1), 1_400), CLUSTER)
+    mux = Mux(MemoryTransport(MemoryNetwork(), ("n0", 1), 1_400), CLUSTER)
     assert mux.cluster_hash.hex() == WIRE["transport"]["cluster mark"]
 
 
--- a/tests/test_store_worker.py
+++ b/tests/test_store_worker.py
@@ -27,10 +27,10 @@
     store, loop_errors = BlockingStore(), []
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(lambda _, context: loop_errors.append(context))
-    worker = StoreWorker(store, loop, 5)
-    yield worker
+    store_worker = StoreWorker(store, loop, 5)
+    yield store_worker
     store.gate.set()
-    await asyncio.wait_for(worker.close(), 10)
+    await asyncio.wait_for(store_worker.close(), 10)
     assert not store.is_open
     assert not loop_errors
 
