--- a/loadbalancer/freeze/evidence.py
+++ b/loadbalancer/freeze/evidence.py
@@ -19,8 +19,8 @@
 import msgspec
 
 RECORD_KIND = "evidence"  # kind of the published records that carry the reports
-MAX_ZONES = 24
-MAX_SERVERS = 4_096
+MAX_ZONES = 24  # zones in a report
+MAX_SERVERS = 4_096  # servers whose attempts a node counts in a window
 MIN_ATTEMPTS_PER_SERVER = 3
 MIN_ATTEMPTS_FOR_REJECTIONS = 30
 MIN_OBSERVERS = 2  # nodes with enough data on a fault
@@ -115,6 +115,7 @@
     """Counts one node's attempts in the current window, and holds its report on the previous one.
 
     Attributes:
+        rules: Length of the window.
         zones: The zone of each server, set by the host.
         window_ends_at: When the current window ends, in monotonic microseconds.
     """
@@ -199,7 +200,13 @@
 
 
 class FaultFinding(NamedTuple):
-    """The combined reports on one fault; `ratio` is the fraction of observers that see it."""
+    """The combined reports on one fault.
+
+    Attributes:
+        ratio: Fraction of the observers that report it.
+        scope: Scope of an incident for it, as `parse_scope` reads it.
+        reason: Explanation for operators.
+    """
 
     ratio: float
     scope: str
@@ -232,9 +239,8 @@
         elif finding.ratio <= CLEAR_RATIO:
             self.mark_absent(now)
         elif self.opened:
-            self.absent_since = (
-                NEVER  # between the two thresholds: the incident stays open
-            )
+            # Between the two thresholds the incident stays open.
+            self.absent_since = NEVER
         else:
             self.present_since = NEVER
 
@@ -279,9 +285,8 @@
         """
         members = live if isinstance(live, Set) else frozenset(live)
         current = {name: report for name, report in reports.items() if name in members}
-        if 2 * len(current) <= len(
-            live
-        ):  # too few to decide whether a fault is present or absent
+        # Too few reports to decide whether a fault is present or absent
+        if 2 * len(current) <= len(live):
             for fault in self.faults.values():
                 fault.present_since = fault.absent_since = NEVER
             return []
--- a/loadbalancer/stores/memory.py
+++ b/loadbalancer/stores/memory.py
@@ -42,13 +42,13 @@
     def replace(self, name: str, data: bytes | None) -> None:
         """Replaces a record; None removes it."""
         old = self._records.get(self._checked_name(name))
-        before = ITEM_OVERHEAD_BYTES + len(old) if old is not None else 0
+        old_bytes = ITEM_OVERHEAD_BYTES + len(old) if old is not None else 0
         if data is None:
             self._records.pop(name, None)
-            self._used_bytes -= before
+            self._used_bytes -= old_bytes
         else:
             data = bytes(data)
-            self._reserve(ITEM_OVERHEAD_BYTES + len(data) - before)
+            self._reserve(ITEM_OVERHEAD_BYTES + len(data) - old_bytes)
             self._records[name] = data
 
     def append(self, log: str, data: bytes) -> int:
--- a/loadbalancer/stores/sqlite.py
+++ b/loadbalancer/stores/sqlite.py
@@ -168,9 +168,9 @@
         exists = self._checked_name(name) in self._record_sizes
         if data is None and not exists:
             return
-        before = ITEM_OVERHEAD_BYTES + self._record_sizes[name] if exists else 0
-        after = ITEM_OVERHEAD_BYTES + len(data) if data is not None else 0
-        self._check_capacity(after - before)
+        old_bytes = ITEM_OVERHEAD_BYTES + self._record_sizes[name] if exists else 0
+        new_bytes = ITEM_OVERHEAD_BYTES + len(data) if data is not None else 0
+        self._check_capacity(new_bytes - old_bytes)
         with self._transaction() as db:
             if data is None:
                 db.execute("DELETE FROM records WHERE name = ?", (name,))
@@ -184,7 +184,7 @@
                     "UPDATE counts SET records = records + ?",
                     (1 if data is not None else -1,),
                 )
-        self._used_bytes += after - before
+        self._used_bytes += new_bytes - old_bytes
         if data is None:
             del self._record_sizes[name]
         else:
--- a/loadbalancer/stores/sqlite_wal.py
+++ b/loadbalancer/stores/sqlite_wal.py
@@ -36,13 +36,15 @@
     state = _checksum(data[:HEADER_CHECKSUMMED_BYTES], swap_bytes, (0, 0))
     is_valid = state == (sum0, sum1)
     if not is_valid:
-        # The other fields of the header are not valid either; this store uses pages of PAGE_BYTES.
+        # The other fields of the header are not valid either. This store uses SQLite's default page size.
         page_bytes = PAGE_BYTES
         salts = list(FRAME_HEADER.unpack_from(data, WAL_HEADER.size)[2:4])
     frame_bytes = FRAME_HEADER.size + page_bytes
     lost = 0
     for start in range(WAL_HEADER.size, len(data) - frame_bytes + 1, frame_bytes):
-        _, commit, salt0, salt1, *sums = FRAME_HEADER.unpack_from(data, start)
+        _, pages_after_commit, salt0, salt1, *sums = FRAME_HEADER.unpack_from(
+            data, start
+        )
         if [salt0, salt1] != salts:
             # Written before the last checkpoint, like all frames that follow; or the salts are corrupt.
             is_valid = False
@@ -55,7 +57,7 @@
                 data[page_start : page_start + page_bytes], swap_bytes, state
             )
             is_valid = [*state] == sums
-        if not is_valid and commit:
+        if not is_valid and pages_after_commit:
             lost += 1
     return lost
 
--- a/loadbalancer/transports/base.py
+++ b/loadbalancer/transports/base.py
@@ -62,9 +62,8 @@
         if self.local_address is None:
             reason = "closed"
         elif not data:
-            reason = (
-                "empty"  # not all networks carry empty datagrams, so no transport does
-            )
+            # Not all networks carry empty datagrams, so no transport does.
+            reason = "empty"
         elif len(data) > self.max_datagram_bytes:
             reason = "too large"
         if reason:
@@ -82,7 +81,8 @@
         if self.local_address is None or self.receiver is None:
             self.traffic.drop("closed")
         elif len(data) > self.max_datagram_bytes:
-            self.traffic.drop("too large")  # from another program: this one sends none
+            # Only other programs send such datagrams.
+            self.traffic.drop("too large")
         else:
             self.traffic.received += 1
             self.traffic.received_bytes += len(data)
--- a/tests/contracts/test_transports.py
+++ b/tests/contracts/test_transports.py
@@ -197,7 +197,7 @@
 
 
 FAULTS: dict[str, type[Any]] = {
-    "udp through the switch": ProxyKit,
+    "udp through the proxy": ProxyKit,
     "memory through a plan": faulty(LoopKit),
     "emulated through a plan": faulty(EmulatedKit),
     "hollow through a plan": faulty(HollowKit),
@@ -284,19 +284,19 @@
 
 async def test_unreachable_peers_do_not_affect_others(kit: Any) -> None:
     one, _, _ = await listener(kit)
-    gone, place, _ = await listener(kit)
+    gone, target_address, _ = await listener(kit)
     _, there, second = await listener(kit)
     gone.close()
     await let_datagrams_arrive(kit)
     for _ in range(20):
-        one.send(b"to nobody", place)  # either result is allowed
+        one.send(b"to nobody", target_address)  # either result is allowed
     await let_datagrams_arrive(kit)
     before = sum(one.counters.dropped.values())
     local = "127.0.0.1"
     for host, port in (
         ("no.such.name", 5),
         (local, 0),
-        (local, 65_536 + place[1]),
+        (local, 65_536 + target_address[1]),
         ("\ud800", 5),
     ):
         assert not one.send(b"to nobody", (host, port))
@@ -316,13 +316,13 @@
             answers.append(data)
             return
         sending.append("answer")
-        two.send(b"to itself", place)
+        two.send(b"to itself", target_address)
         sending.pop()
 
-    place = await kit.open(two, answer)
+    target_address = await kit.open(two, answer)
     for _ in range(20):
         sending.append("send")
-        assert one.send(b"ask", place)
+        assert one.send(b"ask", target_address)
         sending.pop()
     await until(kit, lambda: len(answers) == 20)
     assert within == []
@@ -451,7 +451,7 @@
     here, there, abroad = (
         Mux(network.create_transport(), c) for c in ("home", "home", "abroad")
     )
-    place, raw = (
+    target_address, raw = (
         await there.open(into("own")),
         await network.create_transport().open(into("raw")),
     )
@@ -465,11 +465,11 @@
         abroad.channel(5),
     )
     await foreign.open(into("channel"))
-    assert here.send(b"\x96 membership", place)
-    assert five.send(b"five", place)
-    assert nine.send(b"unused tag", place)
-    assert foreign.send(b"foreign", place)
-    assert not here.send(b"\x05 not mine", place)
+    assert here.send(b"\x96 membership", target_address)
+    assert five.send(b"five", target_address)
+    assert nine.send(b"nobody's", target_address)
+    assert foreign.send(b"foreign", target_address)
+    assert not here.send(b"\x05 not mine", target_address)
     assert here.send(b"\x96 membership", raw)
     assert five.send(b"five", raw)
     network.deliver_pending()
@@ -488,7 +488,7 @@
     assert here.channel(5, into("channel")).address == here.address
     here.close()
     assert nine.address is None
-    assert not nine.send(b"late", place)
+    assert not nine.send(b"late", target_address)
 
 
 SIZES = [0, 8, 500, "largest", "over", 70_000]
@@ -498,7 +498,7 @@
     """A transport and its expected state."""
 
     def __init__(self, end: Any) -> None:
-        self.end, self.place, self.state = end, ("", 0), "new"
+        self.end, self.own_address, self.state = end, ("", 0), "new"
         self.received: Log = []
         self.due: Log = []  # must have arrived after `settle`
         self.sent = 0
@@ -548,7 +548,7 @@
     def open(self, a: int) -> None:
         m = self.ends[a % len(self.ends)]
         if m.state == "new":
-            m.place = self.run(
+            m.own_address = self.run(
                 lambda: self.kit.open(
                     m.end, lambda *received: m.received.append(received)
                 )
@@ -570,7 +570,7 @@
             "over": one.end.max_datagram_bytes + 1,
         }.get(size, size)
         data = (b"%08d" % self.sent_count + bytes(length))[:length]
-        accepted = one.end.send(data, two.place)
+        accepted = one.end.send(data, two.own_address)
         one.sent += accepted
         drop_reason = (
             "closed"
@@ -584,7 +584,7 @@
             one.dropped[drop_reason or "empty"] += 1
         elif two.state == "open":
             assert accepted
-            two.due.append((data, one.place))
+            two.due.append((data, one.own_address))
         elif not accepted:
             one.dropped["unreachable"] += 1
 
