--- a/loadbalancer/node/features/feature.py
+++ b/loadbalancer/node/features/feature.py
@@ -18,11 +18,11 @@
 from typing import TYPE_CHECKING, Any, ClassVar, Protocol
 
 from loadbalancer.errors import LoadBalancerError
-from loadbalancer.freeze.changes import GO, Answer, Change
+from loadbalancer.freeze.changes import ALLOWED, Answer, Change
 from loadbalancer.policy.api import ListUpdateKind, Outcome
 from loadbalancer.records.interface import Records
 from loadbalancer.stores.interface import Store
-from loadbalancer.transports.interface import Address, Received, Transport
+from loadbalancer.transports.interface import Address, DatagramReceiver, Transport
 
 if TYPE_CHECKING:
     from loadbalancer.config.operator_config import OperatorConfig
@@ -33,7 +33,7 @@
 
 
 __all__ = [
-    "GO",
+    "ALLOWED",
     "AdminPage",
     "Answer",
     "AttemptEnd",
@@ -178,7 +178,7 @@
     def member_address(self, name: str) -> Address | None:
         """Where a member receives datagrams; None if it is not known."""
 
-    def channel(self, tag: int, received: Received) -> Transport:
+    def channel(self, tag: int, received: DatagramReceiver) -> Transport:
         """Opens a transport to the same feature of other members, on the membership's port.
 
         Args:
@@ -276,7 +276,7 @@
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
         """Another feature or the node wants to make a change; `then` must be called once, now or later."""
-        then(GO)
+        then(ALLOWED)
 
     def on_change_made(
         self, change: Change, scope: str, grant: StateVersion | None
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -21,7 +21,7 @@
 from loadbalancer.node.discovery.endpoint_list_codec import Line, Listing
 from loadbalancer.node.features.audit import AuditFeature
 from loadbalancer.node.features.feature import (
-    GO,
+    ALLOWED,
     Answer,
     AttemptEnd,
     Change,
@@ -61,7 +61,7 @@
 class FakeHost:
     """The feature host of one node; also acts as its records, its channel and its discovery."""
 
-    largest = 1_300
+    max_datagram_bytes = 1_300
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self.stored: Store = store or MemoryStore()
         self.logged: list[dict[str, Any]] = []
         self.merged_lines: list[Line] = []
-        self.change_answer: Answer = GO
+        self.change_answer: Answer = ALLOWED
         self.has_no_membership = False
         self.is_store_locked = False
         self.fetch_count = 0
@@ -118,7 +118,7 @@
         return self
 
     def send(self, data: bytes, to: tuple[str, int]) -> bool:
-        assert len(data) <= self.largest
+        assert len(data) <= self.max_datagram_bytes
         if to[0] in self.network.hosts:
             self.loop.call_soon(
                 self.network.hosts[to[0]].received, data, (self.name, 1)
