--- a/loadbalancer/config/operator_config.py
+++ b/loadbalancer/config/operator_config.py
@@ -148,11 +148,11 @@
         from loadbalancer.locality.rules import RETURN_LEVELS, AgreementRules
 
         return AgreementRules(
-            failing=self.fails_percent / 100,
-            hold=int(self.hold_s * 1e6),
-            quiet=int(self.quiet_s * 1e6),
-            step=int(zones.return_s * 1e6) // len(RETURN_LEVELS),
-            calm=int(zones.calm_s * 1e6),
+            failing_ratio=self.fails_percent / 100,
+            worsening_dwell_us=int(self.hold_s * 1e6),
+            return_dwell_us=int(self.quiet_s * 1e6),
+            return_step_us=int(zones.return_s * 1e6) // len(RETURN_LEVELS),
+            relapse_memory_us=int(zones.calm_s * 1e6),
         )
 
 
--- a/loadbalancer/lab/locality.py
+++ b/loadbalancer/lab/locality.py
@@ -9,10 +9,10 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
+from loadbalancer.locality.agreed_zone_failover import AgreedView, AgreedZoneFailover
 from loadbalancer.locality.agreement import Members, ZoneAgreement
 from loadbalancer.locality.evidence import EvidenceCollector
 from loadbalancer.locality.messages import FULL_LEVEL, LoadReport, ZoneState
-from loadbalancer.locality.zone_judge import AgreedView, AgreedZoneJudge
 from loadbalancer.policy.api import Outcome
 from loadbalancer.policy.zone_failover import ZoneFailoverRules
 
@@ -28,7 +28,7 @@
     """One node's part."""
 
     def __init__(
-        self, name: str, judge: AgreedZoneJudge, agreement: ZoneAgreement
+        self, name: str, judge: AgreedZoneFailover, agreement: ZoneAgreement
     ) -> None:
         self.name, self.judge, self.agreement = name, judge, agreement
         self.evidence = EvidenceCollector()
@@ -61,9 +61,9 @@
         ] = []  # when, node, zone, state
         emu.kernel.after(ROUND_INTERVAL_US, self.run_round)
 
-    def judge(self, node: Node, rules: ZoneFailoverRules) -> AgreedZoneJudge:
+    def judge(self, node: Node, rules: ZoneFailoverRules) -> AgreedZoneFailover:
         """A judge for a node that starts."""
-        judge = AgreedZoneJudge(rules, node.zone)
+        judge = AgreedZoneFailover(rules, node.zone)
         name = f"n{node.index}"
         self.members[node.index] = Member(name, judge, ZoneAgreement(name, self.rules))
         return judge
@@ -112,7 +112,9 @@
         """One node reports, decides and hands its view to its judge."""
         judge, agreement = member.judge, member.agreement
         live = {*members.live, member.name}
-        unwell = {self.names[zone]: part for zone, part in judge.unwell.items()}
+        unwell = {
+            self.names[zone]: part for zone, part in judge.observed_unhealthy.items()
+        }
         seen = member.evidence.report(now, unwell, judge.load)
         own = LoadReport(self.names[node.zone], member.evidence.load, seen)
         others = {name: r for name, r in reports.items() if name != member.name}
@@ -134,7 +136,7 @@
             }
         return AgreedView(
             health={
-                number: agreement.zones[name].applied / FULL_LEVEL
+                number: agreement.zones[name].applied_level / FULL_LEVEL
                 for number, name in enumerate(self.names)
                 if name in agreement.zones
             },
@@ -142,5 +144,5 @@
             regions=self.regions,
             nodes=nodes,
             load_outside=outside,
-            trial=self.wish.trial_percent / 100,
+            trial_ratio=self.wish.trial_percent / 100,
         )
--- a/loadbalancer/locality/__init__.py
+++ b/loadbalancer/locality/__init__.py
@@ -1,4 +1,4 @@
-"""The state of zones and regions that all nodes agree on, and the quota of calls that each zone takes by it.
+"""The state of zones and regions that all nodes agree on, and the call quotas that follow from it.
 
 See docs/zones.md.
 """
--- a/loadbalancer/locality/zone_judge.py
+++ b/loadbalancer/locality/agreed_zone_failover.py
@@ -1,6 +1,7 @@
-"""The zone judge that goes by the agreed state; without one it is that of `policy.zone_failover` as it is.
+"""A zone failover policy that follows the agreed state of zones.
 
-The capacity of endpoints, this copy's load and the listed endpoints are learned as there. How well a zone is
+Without an agreed state it behaves exactly like its base class in `policy.zone_failover`. The capacity of
+endpoints, this instance's load and the listed endpoints are learned by the base class; the health of zones
 comes from the agreed state alone. Pure.
 """
 
@@ -14,23 +15,23 @@
 from loadbalancer.policy.excess_rejection import rejected_parts
 from loadbalancer.policy.zone_failover import ZoneFailover
 
-MIN_LOAD = 1e-9  # calls a second; in place of 0, by which is divided
-MIN_EXCESS_RATIO = 1e-6  # below it is a rounding error
+MIN_LOAD_PER_S = 1e-9  # calls a second; avoids a division by 0
+MIN_EXCESS_RATIO = 1e-6  # a smaller excess is a rounding error
 
 
 @dataclass(frozen=True, slots=True)
 class AgreedView:
-    """The agreed state as this node holds it; zones are numbers, rates are calls a second.
+    """The agreed state as this node holds it, by zone number; rates are calls a second, ratios from 0 to 1.
 
     Attributes:
-        health: The part of each zone that is in use, 0 to 1.
-        load: Of the nodes heard, by their zone.
+        health: The fraction of each zone that is in use.
+        load: The load of the reporting nodes, by their zone.
         regions: The region of each zone.
-        nodes: Known nodes, dead ones too.
-        load_outside: Only in a minority: by zone, the load of all known nodes of other zones.
-        capacity: As operators state it.
-        spill: As operators state it, the part of its capacity that calls from other zones may take.
-        trial: The part of a failed zone's own calls that show whether it is back.
+        nodes: The number of known nodes, including dead ones.
+        load_outside: By zone, the load of all known nodes of other zones; None if a majority is reachable.
+        capacity: The capacity of zones for which operators state one.
+        spill: The fraction of a zone's capacity that calls from other zones may take, if stated.
+        trial_ratio: The fraction of a failed zone's own calls that is sent to it to detect its return.
     """
 
     health: Mapping[int, float]
@@ -40,36 +41,44 @@
     load_outside: Mapping[int, float] | None = None
     capacity: Mapping[int, float] = field(default_factory=dict)
     spill: Mapping[int, float] = field(default_factory=dict)
-    trial: float = 0.05
+    trial_ratio: float = 0.05
 
 
-class AgreedZoneJudge(ZoneFailover):
-    """One copy's judgement by the agreed state.
+class AgreedZoneFailover(ZoneFailover):
+    """Divides one instance's calls among zones by the agreed state.
 
     Attributes:
         view: The agreed state; None while there is none.
-        warm: Warm endpoints of each zone, as if none were on its way back.
-        unwell: By zone, the part that this copy itself finds unwell, as evidence.
+        warm_endpoints: Warm endpoints of each zone, without the reduction during a recovery ramp.
+        observed_unhealthy: By zone, the fraction of endpoints that this instance finds unhealthy.
     """
 
     view: AgreedView | None = None
-    warm: Mapping[int, float] = {}
-    unwell: Mapping[int, float] = {}
+    warm_endpoints: Mapping[int, float] = {}
+    observed_unhealthy: Mapping[int, float] = {}
 
     def decide(self, now: int, observation: ZoneObservation) -> ZoneDecision:
-        """Returns what holds until the next judgement."""
-        self.unwell, self.warm = observation.unhealthy, observation.warm
+        """Returns the decision that applies until the next call.
+
+        Args:
+            now: The present time, in microseconds.
+            observation: What this instance has observed since the last call.
+        """
+        self.observed_unhealthy, self.warm_endpoints = (
+            observation.unhealthy,
+            observation.warm,
+        )
         view = self.view
         if view is None:
             return super().decide(now, observation)
-        # A node that is alone counts itself as the only copy, and must not take all capacity for its own.
+        # An isolated node sees itself as the only instance, and must not use all capacity alone.
         instances = max(observation.instances, view.nodes)
         return super().decide(
             now, replace(observation, unhealthy={}, instances=instances)
         )
 
     def update_panic(self, observation: ZoneObservation) -> None:
-        """Panics as Envoy does: when all levels lack health, and too little of everything is well."""
+        """Panics as Envoy does: if all priority levels lack health and too little capacity is healthy."""
         if self.view is None:
             super().update_panic(observation)
             return
@@ -89,26 +98,26 @@
         observation: ZoneObservation,
         instances_per_zone: float,
     ) -> None:
-        """Learns what an endpoint bears, but not from a zone that is not well.
+        """Learns the rate that an endpoint can take, unless the own zone is unhealthy.
 
-        A zone that does not answer would be taken for a crowded one, and endpoints of the zones that should
-        take its calls over would seem to bear as little.
+        A zone that does not respond would look overloaded, and endpoints of the zones that should take over
+        its calls would be assumed to take as little.
         """
         if self.view is None or self.view.health.get(self.own_zone, 1.0) >= 1:
             super().learn_endpoint_rate(now, elapsed, observation, instances_per_zone)
 
     def capacities(self, view: AgreedView) -> dict[int, ZoneCapacity]:
-        """Returns all zones as the plan of quotas takes them."""
-        found = {}
+        """Returns the capacity and load of all zones, by number, for `plan_quotas`."""
+        by_number = {}
         for number, zone in self.zones.items():
-            warm = max(self.warm.get(number, 0.0), zone.usable_endpoints)
+            warm = max(self.warm_endpoints.get(number, 0.0), zone.usable_endpoints)
             capacity = warm * self.endpoint_rate
             if number in view.capacity and zone.usual_endpoints > 0:
                 capacity = view.capacity[number] * warm / zone.usual_endpoints
-            # Endpoints that return to the list are counted as returning once, not once more by the state.
+            # Endpoints that return to the list are already reduced; the state does not reduce them again.
             listed = zone.usable_endpoints / warm if warm > 0 else 0.0
             load = view.load.get(number, 0.0)
-            found[number] = ZoneCapacity(
+            by_number[number] = ZoneCapacity(
                 region=view.regions.get(number) or f"zone {number}",
                 capacity=capacity,
                 health=min(listed, view.health.get(number, 1.0)),
@@ -116,45 +125,48 @@
                 spill=view.spill.get(number, self.rules.spill_limit),
                 is_stated=self.rules.server_rate > 0 or number in view.capacity,
             )
-        return found
+        return by_number
 
     def divide_load(
         self, observation: ZoneObservation, instances_per_zone: float
     ) -> ZoneDecision:
-        """Decides by the plan that all nodes make alike; as ever while all is well and most are heard."""
+        """Decides by the plan that all nodes compute alike.
+
+        The base class decides while all zones are healthy and most nodes are reachable.
+        """
         view = self.view
         if view is None:
             return super().divide_load(observation, instances_per_zone)
-        calm = all(view.health.get(number, 1.0) >= 1 for number in self.zones)
-        if calm and view.load_outside is None:
+        all_healthy = all(view.health.get(number, 1.0) >= 1 for number in self.zones)
+        if all_healthy and view.load_outside is None:
             return super().divide_load(observation, instances_per_zone)
         zones = self.capacities(view)
         if self.panic:
             zones = {n: replace(zone, health=1.0) for n, zone in zones.items()}
         shares = self._planned_shares(view, zones)
-        rest = max(0.0, 1.0 - sum(shares.values()))
+        unassigned = max(0.0, 1.0 - sum(shares.values()))
         self.spilled_share = sum(
             s for number, s in shares.items() if number != self.own_zone
         )
         self.rejected_share = 0.0
         if not observation.may_reject or self.panic:
-            shares[self.own_zone] += rest
-        elif rest > MIN_EXCESS_RATIO:
-            self.rejected_share = rest
+            shares[self.own_zone] += unassigned
+        elif unassigned > MIN_EXCESS_RATIO:
+            self.rejected_share = unassigned
         elif zones[self.own_zone].health <= 0:
-            # Without trial calls to a failed zone nobody would learn that it is back.
-            shares = {n: share * (1 - view.trial) for n, share in shares.items()}
-            shares[self.own_zone] += view.trial
+            # Without trial calls to a failed zone no node would detect its return.
+            shares = {n: share * (1 - view.trial_ratio) for n, share in shares.items()}
+            shares[self.own_zone] += view.trial_ratio
         return self._decision(observation, instances_per_zone, shares, zones)
 
     def _planned_shares(
         self, view: AgreedView, zones: Mapping[int, ZoneCapacity]
     ) -> dict[int, float]:
-        """The parts of the own zone's calls that each zone takes."""
-        load, spare = max(zones[self.own_zone].load, MIN_LOAD), None
+        """Returns the fraction of the own zone's calls that each zone takes."""
+        load, spare = max(zones[self.own_zone].load, MIN_LOAD_PER_S), None
         if view.load_outside is not None:
-            # Each side of a partition would take all spare capacity. Where few are heard, each node takes
-            # what it would have if all that are known had the same need.
+            # Each side of a partition would use all spare capacity. In a minority each node uses only the
+            # fraction that it would have if all known nodes had the same need.
             spare = {
                 number: zone.spare
                 * load
@@ -176,8 +188,11 @@
         shares: Mapping[int, float],
         zones: Mapping[int, ZoneCapacity],
     ) -> ZoneDecision:
+        """Returns the decision for the fractions of calls that zones take, with the classes to reject."""
         served = sum(shares.values())
-        order = [number for number in self.order(zones) if number in shares]
+        order = [
+            number for number in self.zones_by_preference(zones) if number in shares
+        ]
         parts = tuple((n, shares[n] / served) for n in order) if served else ()
         if not self.rejected_share:
             return ZoneDecision(
@@ -193,20 +208,24 @@
             parts, reject, self.panic, self.endpoint_rate / instances_per_zone
         )
 
-    def order(self, zones: Mapping[int, ZoneCapacity]) -> list[int]:
-        """Returns the own zone, then those of its region, then the others."""
+    def zones_by_preference(self, zones: Mapping[int, ZoneCapacity]) -> list[int]:
+        """Returns the zones by preference: the own zone, then those of its region, then the others."""
         region = zones[self.own_zone].region
         return sorted(
             zones, key=lambda n: (n != self.own_zone, zones[n].region != region, n)
         )
 
     def zone_groups(self) -> list[list[int]]:
-        """Returns the zones of the region, and the others."""
+        """Returns the other zones of the own region, and the zones of other regions."""
         view = self.view
         if view is None or not any(view.regions.values()):
             return super().zone_groups()
         zones = self.capacities(view)
-        others = [number for number in self.order(zones) if number != self.own_zone]
+        others = [
+            number
+            for number in self.zones_by_preference(zones)
+            if number != self.own_zone
+        ]
         region = zones[self.own_zone].region
         return [
             [n for n in others if (zones[n].region == region) is same_region]
--- a/loadbalancer/locality/agreement.py
+++ b/loadbalancer/locality/agreement.py
@@ -1,12 +1,12 @@
 """The state of each zone that the nodes agree on: healthy, degraded, failed or returning.
 
-Each node combines the reports of the live members and decides which change is due (`_due_change`): a majority
-of those that observe a zone must find it failing, of its own nodes where two of them observe it. It proposes
-the change in its own report; the change is made once more than half of the nodes that report propose it or
-have made it. So one node's report moves nothing, and a step of a return is taken when most are ready for it,
-not by each node's clock. The sides of a partition decide among themselves and take over the larger side's
-state afterwards; the part of a zone that is in use grows slowly all the same, so that they merge without a
-jump.
+Each node combines the reports of the live members and decides which change is due (`_due_change`): a zone
+fails when a majority of the nodes that observe it report it as failing; only its own nodes are counted where
+two of them observe it. The node proposes the change in its own report, and makes it once more than half of
+the reporting nodes propose it or have made it. So a single node's report changes nothing, and a return
+advances when most nodes are ready, not by each node's clock. The sides of a partition decide on their own and
+adopt the larger side's state afterwards; the fraction of a zone that is in use still grows slowly, so that
+the sides merge without a jump in load.
 
 Pure: no I/O, times in microseconds from outside.
 """
@@ -26,12 +26,12 @@
     ZoneStatus,
 )
 from loadbalancer.locality.rules import (
-    DEGRADED_WELL_RATIO,
+    DEGRADED_HEALTHY_RATIO,
+    MAX_DIVERGENCE_US,
     MAX_RELAPSE_DOUBLINGS,
-    MIN_RETURN_WELL_RATIO,
+    MIN_RETURN_HEALTHY_RATIO,
     QUARTERS,
     RETURN_LEVELS,
-    SETTLE_US,
     AgreementRules,
 )
 
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """What the membership says.
+    """The members of the fleet, by name, as the membership reports them.
 
     Attributes:
-        known: All members that have not left, dead ones too.
+        known: All members that have not left, including dead ones.
         live: The live members.
     """
 
@@ -55,7 +55,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """The agreed state of a zone has changed at this node."""
+    """A change of a zone's agreed state at this node.
+
+    Attributes:
+        zone: The zone.
+        old: The state before.
+        new: The state from now on.
+        level: The new level, in eighths.
+        epoch: Changes of the zone so far, including this one.
+        reason: The reason, as text for the log.
+    """
 
     zone: str
     old: ZoneState
@@ -67,82 +76,94 @@
 
 @dataclass(frozen=True, slots=True)
 class DueChange:
-    """A change that the evidence calls for, once it has done so for a time; None: no change."""
+    """The change that the evidence calls for.
+
+    Attributes:
+        status: The new status; None if no change is due.
+        dwell_us: How long the change must be due before it is proposed, in microseconds.
+    """
 
     status: ZoneStatus | None
-    after_us: int = 0
+    dwell_us: int = 0
 
 
 @dataclass(slots=True)
 class AgreedZone:
-    """One zone as this node holds it.
+    """The state of one zone as this node holds it; times in microseconds.
 
     Attributes:
         name: The zone.
         epoch: Changes so far.
         state: The agreed state.
-        level: Eighths that may be in use.
-        applied: Eighths that are in use; falls at once, grows slowly.
-        since: When the state was taken.
-        worse_at: The last change for the worse.
-        relapses: Changes for the worse that followed soon on another.
-        due: The status that the evidence calls for, if another.
-        due_since: Since when.
-        proposal: The same, once it has been due for long enough.
-        differs_since: Since when most others hold another status; 0 if they do not.
-        observers: Nodes that observe the zone.
-        failing: Those of them that find it failing.
-        impaired: Those of them that find any part of it lost or slow.
-        well: The part of calls that are well, over all observers.
+        level: Eighths of the zone that may be in use.
+        applied_level: Eighths that are in use; falls with `level` at once, and grows to it slowly.
+        since_us: When the state was adopted.
+        worsened_at_us: When the zone last changed for the worse; None if it never has.
+        relapses: Changes for the worse that each followed soon on another one.
+        due: The status that the evidence calls for; None if no change is due.
+        due_since_us: Since when `due` has been the same.
+        proposal: The due status, once it has been due for its dwell time.
+        diverging_since_us: Since when most others have held another status; 0 if they do not.
+        observer_count: Nodes that observe the zone.
+        failing_count: Observers that report the zone as failing.
+        impaired_count: Observers that report any fraction of the zone as lost or slow.
+        healthy_ratio: The ratio of healthy attempts, averaged over all observers; a slow one counts half.
     """
 
     name: str
     epoch: int = 0
     state: ZoneState = ZoneState.HEALTHY
     level: int = FULL_LEVEL
-    applied: float = FULL_LEVEL
-    since: int = 0
-    worse_at: int | None = None
+    applied_level: float = FULL_LEVEL
+    since_us: int = 0
+    worsened_at_us: int | None = None
     relapses: int = 0
     due: ZoneStatus | None = None
-    due_since: int = 0
+    due_since_us: int = 0
     proposal: ZoneStatus | None = None
-    differs_since: int = 0
-    observers: int = 0
-    failing: int = 0
-    impaired: int = 0
-    well: float = 1.0
+    diverging_since_us: int = 0
+    observer_count: int = 0
+    failing_count: int = 0
+    impaired_count: int = 0
+    healthy_ratio: float = 1.0
 
     @property
     def status(self) -> ZoneStatus:
         """The state and level."""
         return ZoneStatus(int(self.state), self.level)
 
-    def weigh(self, reports: Collection[ZoneReport], failing_ratio: float) -> None:
-        """Combines the reports of the nodes whose evidence counts."""
-        self.observers = len(reports)
+    def evaluate(self, reports: Collection[ZoneReport], failing_ratio: float) -> None:
+        """Combines the reports of the nodes whose evidence counts.
+
+        Args:
+            reports: Their reports on this zone.
+            failing_ratio: The ratio of lost attempts from which a node reports the zone as failing.
+        """
+        self.observer_count = len(reports)
         failing_quarters = QUARTERS * failing_ratio
-        self.failing = sum(r.lost_quarters >= failing_quarters for r in reports)
-        self.impaired = sum(r.lost_quarters + r.slow_quarters > 0 for r in reports)
-        bad = sum(
+        self.failing_count = sum(r.lost_quarters >= failing_quarters for r in reports)
+        self.impaired_count = sum(
+            r.lost_quarters + r.slow_quarters > 0 for r in reports
+        )
+        unhealthy = sum(
             min(1.0, (r.lost_quarters + r.slow_quarters / 2) / QUARTERS)
             for r in reports
         )
-        self.well = 1 - bad / len(reports) if reports else 1.0
+        self.healthy_ratio = 1 - unhealthy / len(reports) if reports else 1.0
 
 
 @dataclass
 class ZoneAgreement:
-    """One node's part in the agreement.
+    """One node's side of the agreement on all zones.
 
     Attributes:
         name: This node's name.
         rules: Thresholds and times.
-        zones: What is agreed, by zone.
-        loads: The last report of each known node, for its zone and load.
+        zones: The agreed state by zone.
+        loads: The last report of each known node, by node; its zone and load are used.
         minority: Whether this node reaches no more than half of the known nodes.
-        heard: The reports of the last round, by node.
-        at: Time of the last round.
+        received: The reports of the last round, by node; this node's own is one of them.
+        last_round_us: Time of the last round, in microseconds.
     """
 
     name: str
@@ -150,8 +171,8 @@
     zones: dict[str, AgreedZone] = field(default_factory=dict)
     loads: dict[str, LoadReport] = field(default_factory=dict)
     minority: bool = False
-    heard: dict[str, LoadReport] = field(default_factory=dict)
-    at: int = 0
+    received: dict[str, LoadReport] = field(default_factory=dict)
+    last_round_us: int = 0
 
     def tick(
         self,
@@ -161,49 +182,52 @@
         members: Members,
         held_back: Collection[str] = (),
     ) -> tuple[LoadReport, list[StateChange]]:
-        """Runs a round.
+        """Runs a round: evaluates all reports, and makes the changes that a majority supports.
 
         Args:
-            now: The present time.
+            now: The present time, in microseconds.
             own: This node's evidence.
-            reports: Of the live others.
-            members: Known and live members.
-            held_back: Zones that do not begin to return.
+            reports: The reports of other nodes, by node; those of members that are not live are ignored.
+            members: The known and the live members.
+            held_back: Failed zones that must not start to return yet.
 
         Returns:
-            What this node reports from now on, and the changes made.
+            The report that this node sends from now on, and the changes made.
         """
-        elapsed, self.at = now - self.at if self.at else 0, now
-        self.heard = {name: r for name, r in reports.items() if name in members.live}
-        self.heard[self.name] = own
-        self.loads.update(self.heard)
+        elapsed, self.last_round_us = (
+            now - self.last_round_us if self.last_round_us else 0,
+            now,
+        )
+        self.received = {name: r for name, r in reports.items() if name in members.live}
+        self.received[self.name] = own
+        self.loads.update(self.received)
         for name in self.loads.keys() - set(members.known) - {self.name}:
             del self.loads[name]
         known, live = len(members.known), len(members.live)
         self.minority = known > 1 and 2 * live <= known
-        names = {name for report in self.heard.values() for name in report.zones}
+        names = {name for report in self.received.values() for name in report.zones}
         changes: list[StateChange] = []
         for name in sorted(names | self.zones.keys()):
             zone = self.zones.get(name)
             if zone is None:
-                zone = self.zones[name] = AgreedZone(name, since=now)
-            zone.weigh(self._counting_reports(name), self.rules.failing)
+                zone = self.zones[name] = AgreedZone(name, since_us=now)
+            zone.evaluate(self._counting_reports(name), self.rules.failing_ratio)
             self._propose(now, zone, held_back=name in held_back)
-            change = self._follow(now, zone)
+            change = self._apply_majority(now, zone)
             if change is not None:
                 changes.append(change)
-            rise = elapsed * FULL_LEVEL / (4 * self.rules.step)
-            zone.applied = min(float(zone.level), zone.applied + rise)
+            rise = elapsed * FULL_LEVEL / (4 * self.rules.return_step_us)
+            zone.applied_level = min(float(zone.level), zone.applied_level + rise)
         return self._report(own), changes
 
     def _report(self, own: LoadReport) -> LoadReport:
-        """This node's record: its evidence, with what it holds and what it proposes."""
+        """Returns this node's report: its evidence, the states that it holds, and its proposals."""
         zones = {}
         for name, zone in self.zones.items():
-            seen = own.zones.get(name, ZoneReport())
+            evidence = own.zones.get(name, ZoneReport())
             zones[name] = ZoneReport(
-                seen.lost_quarters,
-                seen.slow_quarters,
+                evidence.lost_quarters,
+                evidence.slow_quarters,
                 zone.epoch,
                 zone.state,
                 zone.level,
@@ -211,16 +235,17 @@
             )
         return LoadReport(own.zone, own.load, zones)
 
-    # ---- the change that is due ----------------------------------------------------------------------------
+    # ---- which change is due ------------------------------------------------------------------------------
 
     def _counting_reports(self, name: str) -> list[ZoneReport]:
-        """The reports of a zone's own nodes where two of them observe it, else of all observers.
+        """Returns the reports of a zone's own nodes where two of them observe it, else of all observers.
 
-        Else a link failure that only other zones see would take a zone from its own nodes, which reach it.
+        Otherwise a link failure that only other zones observe would fail a zone for its own nodes, which can
+        still reach it.
         """
         observed: list[ZoneReport] = []
         local: list[ZoneReport] = []
-        for node_report in self.heard.values():
+        for node_report in self.received.values():
             report = node_report.zones.get(name)
             if report is None or report.lost_quarters == UNOBSERVED:
                 continue
@@ -230,96 +255,113 @@
         return local if len(local) > 1 else observed
 
     def _due_change(self, zone: AgreedZone) -> DueChange:
-        """The change that the evidence calls for, and how long it must do so."""
-        quorum = 1 if self.minority else min(2, len(self.heard))
-        enough = zone.observers >= quorum
-        if enough and 2 * zone.failing > zone.observers:
+        """Returns the change that the evidence calls for, and its dwell time."""
+        quorum = 1 if self.minority else min(2, len(self.received))
+        has_quorum = zone.observer_count >= quorum
+        if has_quorum and 2 * zone.failing_count > zone.observer_count:
             is_failed = zone.state == ZoneState.FAILED
-            return DueChange(None if is_failed else FAILED, self.rules.hold)
+            return DueChange(
+                None if is_failed else FAILED, self.rules.worsening_dwell_us
+            )
         impaired = (
-            zone.impaired >= quorum
-            and 3 * zone.impaired > zone.observers
-            and zone.well < DEGRADED_WELL_RATIO
+            zone.impaired_count >= quorum
+            and 3 * zone.impaired_count > zone.observer_count
+            and zone.healthy_ratio < DEGRADED_HEALTHY_RATIO
+        )
+        dwell_us = self.rules.return_dwell_us << min(
+            zone.relapses, MAX_RELAPSE_DOUBLINGS
         )
-        quiet_us = self.rules.quiet << min(zone.relapses, MAX_RELAPSE_DOUBLINGS)
         if zone.state == ZoneState.FAILED:
-            return DueChange(FIRST_RETURN_STEP, quiet_us)
+            return DueChange(FIRST_RETURN_STEP, dwell_us)
         if zone.state == ZoneState.RETURNING:
             return self._due_return_step(zone, impaired=impaired)
-        level = max(2, min(6, 2 * round(4 * zone.well)))
+        level = max(2, min(6, 2 * round(4 * zone.healthy_ratio)))
         if impaired and level < zone.level:
-            return DueChange(ZoneStatus(ZoneState.DEGRADED, level), self.rules.hold)
+            return DueChange(
+                ZoneStatus(ZoneState.DEGRADED, level), self.rules.worsening_dwell_us
+            )
         if zone.state == ZoneState.DEGRADED and (not impaired or level > zone.level):
-            better = ZoneStatus(ZoneState.DEGRADED, zone.level + 2)
-            return DueChange(better if better.level < FULL_LEVEL else HEALTHY, quiet_us)
+            improved = ZoneStatus(ZoneState.DEGRADED, zone.level + 2)
+            return DueChange(
+                improved if improved.level < FULL_LEVEL else HEALTHY, dwell_us
+            )
         return DueChange(None)
 
     def _due_return_step(self, zone: AgreedZone, *, impaired: bool) -> DueChange:
-        """A step of a return: up while the zone is well, down while too much of it is not."""
+        """Returns the next step of a return: up while the zone is healthy, down while too little of it is."""
         if impaired:
             lower = [level for level in RETURN_LEVELS if level < zone.level]
-            if zone.well >= MIN_RETURN_WELL_RATIO:
+            if zone.healthy_ratio >= MIN_RETURN_HEALTHY_RATIO:
                 return DueChange(None)
-            back = ZoneStatus(ZoneState.RETURNING, lower[-1]) if lower else None
-            return DueChange(back, self.rules.hold)
+            step_back = ZoneStatus(ZoneState.RETURNING, lower[-1]) if lower else None
+            return DueChange(step_back, self.rules.worsening_dwell_us)
         higher = [level for level in RETURN_LEVELS if level > zone.level]
         doublings = min(max(0, zone.relapses - 1), MAX_RELAPSE_DOUBLINGS)
-        up = ZoneStatus(ZoneState.RETURNING, higher[0]) if higher else HEALTHY
-        return DueChange(up, self.rules.step << doublings)
+        step_up = ZoneStatus(ZoneState.RETURNING, higher[0]) if higher else HEALTHY
+        return DueChange(step_up, self.rules.return_step_us << doublings)
 
     def _propose(self, now: int, zone: AgreedZone, *, held_back: bool) -> None:
-        """Proposes the change that has been due for long enough."""
+        """Proposes the due change, once it has been due for its dwell time."""
         change = self._due_change(zone)
         if change.status != zone.due:
-            zone.due, zone.due_since = change.status, now
-        ready = now - zone.due_since >= change.after_us
+            zone.due, zone.due_since_us = change.status, now
+        ready = now - zone.due_since_us >= change.dwell_us
         begins_return = zone.state == ZoneState.FAILED and zone.due == FIRST_RETURN_STEP
         if begins_return and held_back:
             ready = False
         zone.proposal = zone.due if ready else None
 
-    # ---- the change that is made ---------------------------------------------------------------------------
+    # ---- making a change --------------------------------------------------------------------------------
+
+    def _apply_majority(self, now: int, zone: AgreedZone) -> StateChange | None:
+        """Makes the change that a majority supports, or adopts the status that most nodes hold.
 
-    def _follow(self, now: int, zone: AgreedZone) -> StateChange | None:
-        """Makes the change that most propose, or takes over what most hold."""
+        Returns the change made; None if there is none.
+        """
         others = [
             report.zones[zone.name]
-            for node, report in self.heard.items()
+            for node, report in self.received.items()
             if node != self.name and zone.name in report.zones
         ]
-        if self._is_backed(zone, others):
+        if self._has_majority(zone, others):
             reason = (
-                f"{zone.failing} of {zone.observers} nodes that see it find it failing,"
-                f" {zone.impaired} hurt"
+                f"{zone.failing_count} of {zone.observer_count} observing nodes report it as failing,"
+                f" {zone.impaired_count} as impaired"
             )
             assert zone.proposal is not None
-            return self._change(now, zone, zone.proposal, others, reason)
-        held = Counter(report.status for report in others)
-        held[zone.status] += 1
-        best, most = max(held.items(), key=lambda item: (item[1], -item[0][1], item[0]))
+            return self._set_status(now, zone, zone.proposal, others, reason)
+        status_counts = Counter(report.status for report in others)
+        status_counts[zone.status] += 1
+        best, best_count = max(
+            status_counts.items(), key=lambda item: (item[1], -item[0][1], item[0])
+        )
         if best == zone.status:
-            zone.differs_since = 0
-            same = (report.epoch for report in others if report.status == zone.status)
-            zone.epoch = max([zone.epoch, *same])
+            zone.diverging_since_us = 0
+            same_epochs = (
+                report.epoch for report in others if report.status == zone.status
+            )
+            zone.epoch = max([zone.epoch, *same_epochs])
             return None
-        zone.differs_since = zone.differs_since or now
-        count = len(self.heard)
-        ahead = all(r.epoch > zone.epoch for r in others if r.status == best)
-        if (2 * most > count and ahead) or now - zone.differs_since >= SETTLE_US:
-            reason = f"held by {most} of {count} nodes"
-            return self._change(now, zone, best, others, reason)
+        zone.diverging_since_us = zone.diverging_since_us or now
+        node_count = len(self.received)
+        best_is_newer = all(r.epoch > zone.epoch for r in others if r.status == best)
+        if (
+            2 * best_count > node_count and best_is_newer
+        ) or now - zone.diverging_since_us >= MAX_DIVERGENCE_US:
+            reason = f"status held by {best_count} of {node_count} nodes"
+            return self._set_status(now, zone, best, others, reason)
         return None
 
-    def _is_backed(self, zone: AgreedZone, others: Collection[ZoneReport]) -> bool:
-        """Whether more than half of the nodes propose what this one does, or hold it."""
+    def _has_majority(self, zone: AgreedZone, others: Collection[ZoneReport]) -> bool:
+        """Returns whether more than half of the nodes propose or hold the status that this node proposes."""
         if zone.proposal is None:
             return False
-        backing = 1 + sum(
+        supporters = 1 + sum(
             zone.proposal in (report.proposal, report.status) for report in others
         )
-        return 2 * backing > len(self.heard)
+        return 2 * supporters > len(self.received)
 
-    def _change(
+    def _set_status(
         self,
         now: int,
         zone: AgreedZone,
@@ -327,49 +369,61 @@
         others: Collection[ZoneReport],
         reason: str,
     ) -> StateChange:
-        """Takes another status from now on."""
+        """Sets another status of a zone, and returns the change."""
         old, old_level = zone.state, zone.level
-        ahead = [
+        newer_epochs = [
             report.epoch
             for report in others
             if report.status == status and report.epoch > zone.epoch
         ]
-        if ahead:
-            zone.epoch = max(ahead)
+        if newer_epochs:
+            zone.epoch = max(newer_epochs)
         else:
             zone.epoch = max([zone.epoch, *(report.epoch for report in others)]) + 1
-        zone.state, zone.level, zone.since = ZoneState(status.state), status.level, now
+        zone.state, zone.level, zone.since_us = (
+            ZoneState(status.state),
+            status.level,
+            now,
+        )
         zone.due = zone.proposal = None
-        zone.differs_since = 0
+        zone.diverging_since_us = 0
         if zone.level < old_level:
-            self._note_relapse(now, zone)
+            self._count_relapse(now, zone)
         return StateChange(zone.name, old, zone.state, zone.level, zone.epoch, reason)
 
-    def _note_relapse(self, now: int, zone: AgreedZone) -> None:
-        if zone.worse_at is None or now - zone.worse_at > self.rules.calm:
+    def _count_relapse(self, now: int, zone: AgreedZone) -> None:
+        """Counts a change for the worse as a relapse if it follows soon on another one."""
+        if (
+            zone.worsened_at_us is None
+            or now - zone.worsened_at_us > self.rules.relapse_memory_us
+        ):
             zone.relapses = 0
         else:
             zone.relapses += 1
-        zone.worse_at = now
+        zone.worsened_at_us = now
 
     # ---- loads ---------------------------------------------------------------------------------------------
 
     def load_outside(self, zone_name: str) -> float:
-        """Calls a second of all known nodes of other zones, by their last reports."""
+        """Returns the calls a second that all known nodes of other zones receive, by their last reports."""
         return sum(
             report.load for report in self.loads.values() if report.zone != zone_name
         )
 
     def load_by_zone(self) -> dict[str, float]:
-        """Calls a second that are asked of the nodes that are heard, by their zone."""
-        found: dict[str, float] = {}
-        for report in self.heard.values():
-            found[report.zone] = found.get(report.zone, 0.0) + report.load
-        return found
+        """Returns the calls a second by zone that the reporting nodes receive."""
+        loads: dict[str, float] = {}
+        for report in self.received.values():
+            loads[report.zone] = loads.get(report.zone, 0.0) + report.load
+        return loads
 
 
 def region_state(zones: Collection[AgreedZone]) -> ZoneState:
-    """Returns a region's state: failed if all its zones are, else the worst that part of it is in."""
+    """Returns a region's state from those of its zones.
+
+    It is failed only if all zones have failed; else returning if any zone returns, degraded if any zone is
+    not healthy, and healthy otherwise.
+    """
     states = {zone.state for zone in zones}
     if states == {ZoneState.FAILED}:
         return ZoneState.FAILED
--- a/loadbalancer/locality/evidence.py
+++ b/loadbalancer/locality/evidence.py
@@ -1,7 +1,7 @@
-"""One node's evidence on the zones, from the outcomes of its attempts.
+"""One node's evidence on the state of zones, from the outcomes of its attempts.
 
 Pure: no I/O, times in microseconds from outside. Ratios are reported in quarters with hysteresis, so that
-small movements do not make new records.
+small changes do not cause new records.
 """
 
 from __future__ import annotations
@@ -16,36 +16,47 @@
     MAX_ZONES,
     MIN_ATTEMPTS,
     QUARTERS,
-    RATIO_HYSTERESIS,
+    RATIO_HYSTERESIS_QUARTERS,
     WINDOW_US,
 )
 from loadbalancer.policy.api import Outcome
 
 
 def to_quarters(ratio: float, reported: int) -> int:
-    """Returns a ratio in quarters, as it was reported while it has hardly moved."""
-    if abs(QUARTERS * ratio - reported) < RATIO_HYSTERESIS:
+    """Returns a ratio rounded to quarters, with hysteresis.
+
+    Args:
+        ratio: The ratio, 0 to 1.
+        reported: Quarters that were reported last; returned again while the ratio is close to them.
+    """
+    if abs(QUARTERS * ratio - reported) < RATIO_HYSTERESIS_QUARTERS:
         return reported
     return round(QUARTERS * ratio)
 
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """Attempts to one zone by their end."""
+    """Attempts to one zone, counted by how they ended.
+
+    Attributes:
+        healthy: Attempts that succeeded in time.
+        slow: Attempts that were late or rejected.
+        lost: Attempts that failed.
+    """
 
-    well: int = 0
-    slow: int = 0  # late or rejected
+    healthy: int = 0
+    slow: int = 0
     lost: int = 0
 
     @property
     def total(self) -> int:
         """All attempts."""
-        return self.well + self.slow + self.lost
+        return self.healthy + self.slow + self.lost
 
     def record(self, outcome: Outcome, *, late: bool) -> None:
-        """Counts an attempt."""
+        """Counts one attempt."""
         if outcome == Outcome.OK and not late:
-            self.well += 1
+            self.healthy += 1
         elif outcome in (Outcome.OK, Outcome.REJECTED):
             self.slow += 1
         else:
@@ -53,27 +64,33 @@
 
     def add(self, other: AttemptCounts) -> None:
         """Adds the attempts of another window."""
-        self.well += other.well
+        self.healthy += other.healthy
         self.slow += other.slow
         self.lost += other.lost
 
 
 class EvidenceCollector:
-    """What one node's attempts show of each zone.
+    """Collects the outcomes of one node's attempts and reports them by zone.
 
     Attributes:
-        load: The node's load as it was last reported, in calls a second.
+        load: The node's load as last reported, in calls a second.
     """
 
     def __init__(self) -> None:
         self.load = 0.0
-        self._counts: dict[str, AttemptCounts] = {}  # of the present window, by zone
+        self._counts: dict[str, AttemptCounts] = {}  # by zone, in the current window
         self._earlier: list[dict[str, AttemptCounts]] = []  # windows, latest first
         self._window_ends_us = 0
         self._reported: dict[str, ZoneReport] = {}
 
     def record_attempt(self, zone: str, outcome: Outcome, *, late: bool) -> None:
-        """An attempt has ended; `late` if it took longer than its latency objective."""
+        """Records the end of an attempt.
+
+        Args:
+            zone: The endpoint's zone; attempts without a zone are not counted.
+            outcome: How the attempt ended; cancelled ones are not counted.
+            late: Whether it took longer than its latency objective.
+        """
         if outcome == Outcome.CANCELLED or not zone:
             return
         counts = self._counts.get(zone)
@@ -84,45 +101,51 @@
         counts.record(outcome, late=late)
 
     def report(
-        self, now_us: int, unwell: Mapping[str, float], load: float
+        self, now_us: int, ejected_ratios: Mapping[str, float], load: float
     ) -> dict[str, ZoneReport]:
-        """Returns what this node sees, by zone.
+        """Returns this node's evidence by zone, and closes the window if it has ended.
 
         Args:
-            now_us: The present time.
-            unwell: By zone, the part of its endpoints that is ejected; counts where there are few attempts.
-            load: Calls a second that the node is asked.
+            now_us: The present time, in microseconds.
+            ejected_ratios: By zone, the fraction of its endpoints that is ejected; it alone is reported where
+                there are too few attempts.
+            load: Calls a second that this node receives.
         """
         windows = [self._counts, *self._earlier]
-        found: dict[str, ZoneReport] = {}
-        for zone in {name for window in windows for name in window} | unwell.keys():
-            report = self._zone_report(zone, windows, unwell.get(zone, 0.0))
+        reports: dict[str, ZoneReport] = {}
+        for zone in {
+            name for window in windows for name in window
+        } | ejected_ratios.keys():
+            report = self._zone_report(zone, windows, ejected_ratios.get(zone, 0.0))
             if report is not None:
-                found[zone] = report
-        self._reported = found
+                reports[zone] = report
+        self._reported = reports
         if abs(load - self.load) > LOAD_HYSTERESIS_RATIO * self.load:
             self.load = float(f"{load:.3g}")
         if now_us >= self._window_ends_us:
             self._window_ends_us = now_us + WINDOW_US
             self._earlier = windows[:MAX_EARLIER_WINDOWS]
             self._counts = {}
-        return found
+        return reports
 
     def _zone_report(
-        self, zone: str, windows: list[dict[str, AttemptCounts]], ejected: float
+        self,
+        zone: str,
+        windows: list[dict[str, AttemptCounts]],
+        ejected_ratio: float,
     ) -> ZoneReport | None:
-        """Judges a zone by as few of the latest windows as hold enough attempts."""
+        """Evaluates a zone over the fewest latest windows that hold enough attempts."""
         counts = AttemptCounts()
         for window in windows:
             if counts.total < MIN_ATTEMPTS and zone in window:
                 counts.add(window[zone])
-        enough = counts.total >= MIN_ATTEMPTS
-        if not enough and not ejected:
+        has_enough = counts.total >= MIN_ATTEMPTS
+        if not has_enough and not ejected_ratio:
             return None
-        lost = counts.lost / counts.total if enough else 0.0
-        slow = counts.slow / counts.total if enough else 0.0
-        before = self._reported.get(zone, ZoneReport(0, 0))
+        lost = counts.lost / counts.total if has_enough else 0.0
+        slow = counts.slow / counts.total if has_enough else 0.0
+        previous = self._reported.get(zone, ZoneReport(0, 0))
         return ZoneReport(
-            to_quarters(max(lost, ejected), before.lost_quarters),
-            to_quarters(slow, before.slow_quarters),
+            to_quarters(max(lost, ejected_ratio), previous.lost_quarters),
+            to_quarters(slow, previous.slow_quarters),
         )
--- a/loadbalancer/locality/messages.py
+++ b/loadbalancer/locality/messages.py
@@ -1,4 +1,4 @@
-"""The record in which a node tells the others what it sees of each zone, and what it holds of it."""
+"""The record by which a node reports its evidence on each zone, and the zone states that it holds."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 import msgspec
 
-KIND = "zones"  # of the record
-FULL_LEVEL = 8  # levels are eighths of a zone that are in use
-UNOBSERVED = -1  # in place of quarters, where a node has too few attempts
+KIND = "zones"  # the kind of the record
+FULL_LEVEL = 8  # a level is the number of eighths of a zone that are in use
+UNOBSERVED = -1  # replaces the lost quarters where a node has too few attempts
 
 
 class ZoneState(IntEnum):
@@ -22,10 +22,10 @@
 
 
 class ZoneStatus(NamedTuple):
-    """An agreed state with its level; an array of two on the wire.
+    """An agreed state with its level; encoded as an array of two.
 
     Attributes:
-        state: A `ZoneState`; a plain number if it comes from another node.
+        state: A `ZoneState`; a plain integer if another node has reported it.
         level: Eighths of the zone that are in use.
     """
 
@@ -34,16 +34,16 @@
 
 
 class ZoneReport(msgspec.Struct, array_like=True, frozen=True):
-    """What a node sees of one zone, and what it holds of it.
+    """A node's evidence on one zone, and the state that it holds for it.
 
     Attributes:
-        lost_quarters: Quarters of its attempts that failed, or of its endpoints there that are ejected;
-            `UNOBSERVED` if it has too few attempts.
-        slow_quarters: Quarters of its attempts that were late or rejected.
-        epoch: Changes of the agreed state, as this node counts them.
-        state: The state that it holds.
-        level: The level that it holds, in eighths.
-        proposal: The status that its evidence calls for, if another.
+        lost_quarters: The ratio of the node's attempts there that failed, or of the zone's endpoints that are
+            ejected, in quarters; `UNOBSERVED` if the node has too few attempts.
+        slow_quarters: The ratio of the node's attempts there that were late or rejected, in quarters.
+        epoch: Changes of the agreed state, as the node counts them.
+        state: The state that the node holds.
+        level: The level that the node holds, in eighths.
+        proposal: The status that the node proposes; None if it proposes no change.
     """
 
     lost_quarters: int = UNOBSERVED
@@ -60,12 +60,12 @@
 
 
 class LoadReport(msgspec.Struct, array_like=True, frozen=True):
-    """A node's record.
+    """The content of a node's record.
 
     Attributes:
         zone: The node's own zone.
-        load: Calls a second that the node is asked.
-        zones: By name, what it reports of each zone.
+        load: Calls a second that the node receives.
+        zones: The report on each zone, by the zone's name.
     """
 
     zone: str = ""
@@ -74,12 +74,12 @@
 
 
 def encode(report: LoadReport) -> bytes:
-    """Returns the body of the record."""
+    """Returns a report as the body of a record."""
     return msgspec.msgpack.encode(report)
 
 
 def decode(body: bytes) -> LoadReport | None:
-    """Returns the report in a record's body; None if it is not well formed."""
+    """Returns the report in a record's body; None if it is malformed."""
     try:
         return msgspec.msgpack.decode(body, type=LoadReport)
     except msgspec.DecodeError:
--- a/loadbalancer/locality/quota.py
+++ b/loadbalancer/locality/quota.py
@@ -1,8 +1,9 @@
-"""Which zone takes which calls, from its capacity and its load: the same plan at every node.
+"""Divides the calls of all zones among them by capacity and load: every node computes the same plan.
 
-A zone keeps what Envoy's priority levels would let it keep: its healthy part times the overprovisioning
-factor (1.4, so that a zone that is 71 percent healthy keeps all), and no more than its capacity. The rest
-goes to the zones of its region, and to other regions only as far as those have no spare capacity. Pure.
+A zone keeps as many of its calls as Envoy's priority levels would let it keep: its healthy fraction times the
+overprovisioning factor (1.4, so that a zone that is 71 percent healthy keeps all), and no more than its
+capacity. The rest goes to the zones of its region, and to other regions only where those of its own region
+have no spare capacity. Pure.
 """
 
 from __future__ import annotations
@@ -10,24 +11,24 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-OVERPROVISIONING = 1.4  # Envoy's default
-PASSES_PER_TIER = 2  # over the spare capacity that is left
+OVERPROVISIONING = 1.4  # factor on the healthy ratio; Envoy's default
+PASSES_PER_TIER = 2  # a second pass divides the spare capacity left by the first
 
-Rates = dict[int, dict[int, float]]  # from zone to zone, calls a second
+Rates = dict[int, dict[int, float]]  # calls a second, by source and target zone
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneCapacity:
-    """One zone; rates in calls a second, ratios from 0 to 1.
+    """Capacity and load of one zone; rates in calls a second, ratios from 0 to 1.
 
     Attributes:
-        region: The region it lies in.
-        capacity: What it bears while all of it is healthy.
-        health: The part that is in use.
-        load: What its own nodes are asked.
-        spill: The part of its capacity that calls from other zones may take together.
-        is_stated: Whether operators state the capacity. One that is learned is what was asked so far, and
-            says nothing of what is spare.
+        region: The region of the zone.
+        capacity: The load that the zone can take while all of it is healthy.
+        health: The fraction of the zone that is in use.
+        load: The load that the zone's own nodes receive.
+        spill: The fraction of its capacity that calls from all other zones together may take.
+        is_stated: Whether operators state the capacity. A learned capacity is only the load observed so far,
+            so it does not show how much is spare.
     """
 
     region: str
@@ -39,7 +40,7 @@
 
     @property
     def kept(self) -> float:
-        """What the zone keeps of its own load."""
+        """The calls a second of its own load that the zone keeps."""
         return min(
             self.load,
             OVERPROVISIONING * self.health * self.load,
@@ -48,7 +49,7 @@
 
     @property
     def spare(self) -> float:
-        """What the zone takes of other zones' calls."""
+        """The calls a second that the zone can take from other zones."""
         usable = self.health * self.capacity
         free = usable - self.kept if self.is_stated else usable
         return max(0.0, min(self.spill * usable, free))
@@ -56,7 +57,14 @@
 
 @dataclass(slots=True)
 class _Plan:
-    """A plan in the making: what is assigned, what is left to assign, and what is spare."""
+    """A plan that is being computed.
+
+    Attributes:
+        zones: All zones by number.
+        rates: The calls a second that are assigned, by source and target zone.
+        unassigned: The calls a second of each zone that have no target yet.
+        spare: The spare capacity left in each zone, in calls a second.
+    """
 
     zones: Mapping[int, ZoneCapacity]
     rates: Rates
@@ -64,7 +72,7 @@
     spare: dict[int, float]
 
     def fill(self, *, same_region: bool) -> None:
-        """Divides the spare capacity of one tier among the zones that need it, in proportion."""
+        """Divides the spare capacity of one tier among the zones in need, in proportion to their need."""
         wanted: Rates = {target: {} for target in self.zones}
         for source, need in self.unassigned.items():
             tier = self._tier(source, same_region)
@@ -84,8 +92,8 @@
         ]
 
     def _assign(self, target: int, wanted: Mapping[int, float]) -> None:
-        asked = sum(wanted.values())
-        granted = min(1.0, self.spare[target] / asked) if asked > 0 else 0.0
+        demand = sum(wanted.values())
+        granted = min(1.0, self.spare[target] / demand) if demand > 0 else 0.0
         for source, rate in wanted.items():
             row = self.rates[source]
             row[target] = row.get(target, 0.0) + granted * rate
@@ -96,11 +104,11 @@
 def plan_quotas(
     zones: Mapping[int, ZoneCapacity], spare: Mapping[int, float] | None = None
 ) -> Rates:
-    """Returns the calls a second from each zone to each; what is missing from a row is rejected.
+    """Returns the calls a second from each zone to each; calls that are in no row are to be rejected.
 
     Args:
         zones: All zones by number.
-        spare: Takes the place of the zones' own spare capacity.
+        spare: Replaces the zones' own spare capacity, in calls a second; a zone that is not in it has none.
     """
     plan = _Plan(
         zones,
@@ -118,7 +126,10 @@
 
 
 def all_levels_lost(zones: Mapping[int, ZoneCapacity], own_zone: int) -> bool:
-    """Whether all priority levels together, overprovisioned, do not make up one (Envoy's panic)."""
+    """Returns whether the overprovisioned health of all priority levels sums to less than 1 (Envoy's panic).
+
+    The levels are the own zone, the other zones of its region, and all other regions.
+    """
     own = zones[own_zone]
     same_region: list[ZoneCapacity] = []
     other_regions: list[ZoneCapacity] = []
@@ -126,10 +137,10 @@
         if number != own_zone:
             level = same_region if zone.region == own.region else other_regions
             level.append(zone)
-    healths = [own.health]
+    level_healths = [own.health]
     for level in (same_region, other_regions):
         capacity = sum(zone.capacity for zone in level)
         if capacity > 0:
             healthy = sum(zone.health * zone.capacity for zone in level)
-            healths.append(healthy / capacity)
-    return sum(OVERPROVISIONING * health for health in healths) < 1
+            level_healths.append(healthy / capacity)
+    return sum(OVERPROVISIONING * health for health in level_healths) < 1
--- a/loadbalancer/node/features/locality.py
+++ b/loadbalancer/node/features/locality.py
@@ -14,6 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from loadbalancer.config.operator_config import OperatorConfig
+from loadbalancer.locality.agreed_zone_failover import AgreedView, AgreedZoneFailover
 from loadbalancer.locality.agreement import (
     FIRST_RETURN_STEP,
     AgreedZone,
@@ -31,7 +32,6 @@
     decode,
     encode,
 )
-from loadbalancer.locality.zone_judge import AgreedView, AgreedZoneJudge
 from loadbalancer.membership.messages import MemberState
 from loadbalancer.node.features.core_feature import CoreFeature
 from loadbalancer.node.features.feature import AttemptEnd, FeatureError, ListUpdate
@@ -92,14 +92,14 @@
         self.take(operation)
         self.agreement.zones = before.zones
         self.agreement.loads = before.loads
-        self.agreement.at = before.at
+        self.agreement.last_round_us = before.last_round_us
 
     def stop(self, graceful: bool) -> None:
         """Ends; the judge goes by itself again."""
         if self.timer is not None:
             self.timer.cancel()
         judge = self.node.balancer.zones.policy
-        if isinstance(judge, AgreedZoneJudge) and not self.host.ending:
+        if isinstance(judge, AgreedZoneFailover) and not self.host.ending:
             judge.view = None
 
     # ---- what the node tells --------------------------------------------------------------------------
@@ -133,7 +133,7 @@
         self.timer = self.node.loop.call_later(ROUND_INTERVAL_S, self.run_round)
         judge = self.node.balancer.zones.policy
         members = self.host.members
-        if not isinstance(judge, AgreedZoneJudge) or members is None:
+        if not isinstance(judge, AgreedZoneFailover) or members is None:
             return
         if self.records is None:
             try:
@@ -160,11 +160,13 @@
         self.records.put(KIND, encode(report))
         judge.view = self.view(judge, len(known), census)
 
-    def own_report(self, judge: AgreedZoneJudge) -> LoadReport:
+    def own_report(self, judge: AgreedZoneFailover) -> LoadReport:
         """This node's evidence."""
         names = {number: name for name, number in self.node.zones.items()}
         unwell = {
-            names[zone]: part for zone, part in judge.unwell.items() if zone in names
+            names[zone]: part
+            for zone, part in judge.observed_unhealthy.items()
+            if zone in names
         }
         seen = self.evidence.report(self.host.now(), unwell, judge.load)
         return LoadReport(self.host.zone(), self.evidence.load, seen)
@@ -183,7 +185,7 @@
             self.decoded.clear()  # of members that have gone
         return reports
 
-    def held_back(self, judge: AgreedZoneJudge) -> set[str]:
+    def held_back(self, judge: AgreedZoneFailover) -> set[str]:
         """Zones whose return waits for its approval; one that another zone needs waits for nobody."""
         waiting = set()
         for name, zone in self.agreement.zones.items():
@@ -215,7 +217,7 @@
         )
 
     def view(
-        self, judge: AgreedZoneJudge, nodes: int, census: MemberCount | None
+        self, judge: AgreedZoneFailover, nodes: int, census: MemberCount | None
     ) -> AgreedView:
         """Returns the agreed state in the judge's numbers.
 
@@ -232,7 +234,7 @@
                 for name, number in by_number.items()
             }
         if census is not None:
-            heard = Counter(report.zone for report in agreement.heard.values())
+            heard = Counter(report.zone for report in agreement.received.values())
             load = census.extrapolate(load, heard)
             if outside is not None:
                 outside = {
@@ -243,7 +245,7 @@
         spills = self.wish.zone_spill_percent
         return AgreedView(
             health={
-                number: agreement.zones[name].applied / FULL_LEVEL
+                number: agreement.zones[name].applied_level / FULL_LEVEL
                 for name, number in by_number.items()
                 if name in agreement.zones
             },
@@ -253,7 +255,7 @@
             load_outside=outside,
             capacity={numbers[z]: r for z, r in capacities.items() if z in numbers},
             spill={numbers[z]: p / 100 for z, p in spills.items() if z in numbers},
-            trial=self.wish.trial_percent / 100,
+            trial_ratio=self.wish.trial_percent / 100,
         )
 
     def log_change(self, change: StateChange) -> None:
@@ -296,7 +298,7 @@
         zones = self.agreement.zones.values()
         return {
             "changes": self.changes,
-            "heard": len(self.agreement.heard),
+            "heard": len(self.agreement.received),
             "minority": self.agreement.minority,
             "not_healthy": sum(zone.state != ZoneState.HEALTHY for zone in zones),
         }
@@ -312,9 +314,9 @@
         regions = self.region_states()
         table = {
             "zone": self.host.zone(),
-            "heard": len(agreement.heard),
+            "heard": len(agreement.received),
             "minority": agreement.minority,
-            "panic": isinstance(judge, AgreedZoneJudge) and judge.panic,
+            "panic": isinstance(judge, AgreedZoneFailover) and judge.panic,
             "regions": {name: state.name.lower() for name, state in regions.items()},
             "zones": {name: self._zone_row(name, zone) for name, zone in zones},
         }
@@ -326,7 +328,7 @@
     def _zone_row(self, name: str, zone: AgreedZone) -> dict[str, Any]:
         reports = {
             node: report.zones[name]
-            for node, report in sorted(self.agreement.heard.items())
+            for node, report in sorted(self.agreement.received.items())
             if name in report.zones
         }
         due = None
@@ -335,10 +337,10 @@
         return {
             "region": self.membership.region(name) or None,
             "state": zone.state.name.lower(),
-            "in_use": round(zone.applied / FULL_LEVEL, 3),
+            "in_use": round(zone.applied_level / FULL_LEVEL, 3),
             "level": zone.level / FULL_LEVEL,
             "epoch": zone.epoch,
-            "since_s_ago": round((self.host.now() - zone.since) / 1e6, 1),
+            "since_s_ago": round((self.host.now() - zone.since_us) / 1e6, 1),
             "relapses": zone.relapses,
             "due": due,
             "seen_by": {
--- a/loadbalancer/node/features/traffic_policies.py
+++ b/loadbalancer/node/features/traffic_policies.py
@@ -115,9 +115,9 @@
         if operator_config.locality is None:
             return ZoneFailover
         # Imported here: a node without `[locality]` does not need it.
-        from loadbalancer.locality.zone_judge import AgreedZoneJudge
+        from loadbalancer.locality.agreed_zone_failover import AgreedZoneFailover
 
-        return AgreedZoneJudge
+        return AgreedZoneFailover
 
     def _use_policy(self, policy: ZoneFailover | None) -> None:
         """Has the balancer ask this policy from now on; before its start, the balancer is made with it."""
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -28,8 +28,8 @@
     OperatorConfigError,
     build,
 )
+from loadbalancer.locality.agreed_zone_failover import AgreedZoneFailover
 from loadbalancer.locality.messages import LoadReport
-from loadbalancer.locality.zone_judge import AgreedZoneJudge
 from loadbalancer.node.features.audit import AuditFeature
 from loadbalancer.node.features.cells import CellsFeature
 from loadbalancer.node.features.locality import LocalityFeature
@@ -246,21 +246,21 @@
 
         def whole() -> bool:
             return all(
-                isinstance(j, AgreedZoneJudge) and j.view and j.view.nodes == 6
+                isinstance(j, AgreedZoneFailover) and j.view and j.view.nodes == 6
                 for j in judges
             )
 
         await until(whole)
         part = first.node.feature_host.features["locality"]
         assert isinstance(part, LocalityFeature)
-        await until(lambda: len(part.agreement.heard) == near[NAMES[0]] < len(NAMES))
+        await until(lambda: len(part.agreement.received) == near[NAMES[0]] < len(NAMES))
         assert not part.agreement.minority
         judge = judges[0]
-        assert isinstance(judge, AgreedZoneJudge)
+        assert isinstance(judge, AgreedZoneFailover)
         assert members.layout is not None
-        for name, report in list(part.agreement.heard.items()):
-            part.agreement.heard[name] = LoadReport("here", 10.0, report.zones)
-        view = part.view(judge, len(part.agreement.heard), members.census())
+        for name, report in list(part.agreement.received.items()):
+            part.agreement.received[name] = LoadReport("here", 10.0, report.zones)
+        view = part.view(judge, len(part.agreement.received), members.census())
         assert view.load[first.node.zones["here"]] == pytest.approx(60.0)
 
     play(scene)
