--- a/loadbalancer/cells/__init__.py
+++ b/loadbalancer/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Cells: the fleet divided into sets of members that replicate records among themselves."""
+"""Cells: a large fleet is divided into groups of members that replicate records only among themselves."""
--- a/loadbalancer/cells/member_count.py
+++ b/loadbalancer/cells/member_count.py
@@ -1,7 +1,8 @@
-"""Who is in this node's cell, and how much of the fleet that is: counted once for each change of the members.
+"""Counts the members of this node's cell and of the fleet; run once for each change of the membership.
 
-A feature that hears only its cell but needs the fleet's sum takes the cell for a sample, zone by zone: what
-the heard nodes of a zone report, times the live nodes of that zone over those heard. Pure.
+A feature that receives only its cell's records but needs the sum over the fleet treats the cell as a sample,
+zone by zone: it multiplies the sum of what the reporting nodes of a zone report by the zone's live nodes, and
+divides it by the number of the reporting nodes. Pure.
 """
 
 from __future__ import annotations
@@ -14,7 +15,14 @@
 
 
 class MemberRow(NamedTuple):
-    """A known member."""
+    """A member as the membership knows it.
+
+    Attributes:
+        name: Its name.
+        zone: Its zone.
+        is_live: Whether it is live; a suspected member still is.
+        has_left: Whether it has left the fleet.
+    """
 
     name: str
     zone: str
@@ -24,13 +32,13 @@
 
 @dataclass(frozen=True)
 class MemberCount:
-    """One count of the members.
+    """The members of the own cell, and the size of the fleet.
 
     Attributes:
-        cell: Live members of the own cell, in the order of the rows.
-        known: Of the own cell, dead ones too, without those that have left.
-        zones: Live members of the whole fleet, by zone.
-        fleet: Known members of the whole fleet, dead ones too, without those that have left.
+        cell: Names of the live members of the own cell, in the order of the rows.
+        known: Names of the own cell's members that have not left, including dead ones.
+        zones: The number of live members of the entire fleet, by zone.
+        fleet: The number of members of the entire fleet that have not left, including dead ones.
     """
 
     cell: tuple[str, ...]
@@ -39,48 +47,54 @@
     fleet: int
 
     def extrapolate(
-        self, rates: Mapping[str, float], heard: Mapping[str, int]
+        self, rates: Mapping[str, float], node_counts: Mapping[str, int]
     ) -> dict[str, float]:
-        """Returns the rates of the whole fleet by zone.
+        """Returns the rates of the entire fleet by zone, extrapolated from the reporting nodes.
 
         Args:
-            rates: Of the nodes heard, by zone.
-            heard: How many nodes are heard, by zone. A node of a zone of which none is heard counts with the
-                mean rate.
+            rates: The sum of the rates of the reporting nodes, by zone.
+            node_counts: The number of reporting nodes, by zone. Nodes of a zone without one count with the
+                mean rate of all reporting nodes.
         """
-        total = sum(heard.values())
+        total = sum(node_counts.values())
         mean = sum(rates.values()) / total if total else 0.0
-        found = dict(rates)
+        fleet_rates = dict(rates)
         for zone, live in self.zones.items():
-            count = heard.get(zone, 0)
-            if count:
-                found[zone] = rates.get(zone, 0.0) * max(1.0, live / count)
+            reporting = node_counts.get(zone, 0)
+            if reporting:
+                fleet_rates[zone] = rates.get(zone, 0.0) * max(1.0, live / reporting)
             else:
-                found[zone] = mean * live
-        return found
+                fleet_rates[zone] = mean * live
+        return fleet_rates
 
     @property
     def fleet_ratio(self) -> float:
-        """The whole fleet's known members over the cell's: 1 or more."""
+        """The fleet's known members divided by those of the own cell; at least 1."""
         return max(1.0, self.fleet / len(self.known)) if self.known else 1.0
 
 
 def count_members(
     layout: Layout, own_name: str, rows: Iterable[MemberRow]
 ) -> MemberCount:
-    """Counts all known members, `own_name` among them."""
+    """Counts the members of the own cell and of the fleet.
+
+    Args:
+        layout: The layout of the cells.
+        own_name: This node's name.
+        rows: All known members, this node included.
+    """
     cell_of, own_cell = layout.cell_of, layout.cell_of(own_name)
     cell, known = [], []
     zones: dict[str, int] = {}
     fleet = 0
     for name, zone, is_live, has_left in rows:
-        is_near = cell_of(name) == own_cell
+        in_own_cell = cell_of(name) == own_cell
         if is_live:
             zones[zone] = zones.get(zone, 0) + 1
-            if is_near:
+            if in_own_cell:
                 cell.append(name)
         if not has_left:
             fleet += 1
-            if is_near:
+            if in_own_cell:
                 known.append(name)
     return MemberCount(tuple(cell), frozenset(known), zones, fleet)
--- a/loadbalancer/cells/messages.py
+++ b/loadbalancer/cells/messages.py
@@ -1,8 +1,8 @@
-"""What a cell reports of itself, and what a collector replies: at most 1,000 bytes each, by MessagePack.
+"""Messages between reporters and collectors: MessagePack, at most 1,000 bytes each.
 
-A summary has counts and versions, no times: each receiver finds its age by its own clock. What does not
-decode, is too large, has counts that cannot be, or is of another format or layout is rejected with a reason.
-The fields of the summaries are the published names of `/admin/cells`.
+A summary has counts and versions but no times: each receiver computes its age by its own clock. A message
+that cannot be decoded, is too large, has impossible counts, or is of another format or layout is rejected
+with a reason. The fields of the summaries are published under their names by `/admin/cells`.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 FORMAT_VERSION: Final = 1
 MAX_MESSAGE_BYTES: Final = 1_000
-MAX_FRONTIERS: Final = 8  # numberings reported one by one, the most used first
-MAX_NAMES: Final = 4
-MAX_NAME_CHARS: Final = 64
-MAX_GROUPS: Final = 3  # digests of files reported one by one, the most held first
-MAX_COUNT: Final = 20_000
-MAX_NUMBER: Final = 1 << 62
+MAX_FRONTIERS: Final = 8  # numberings in a summary; the most used ones are kept
+MAX_NAMES: Final = 4  # members that a cell summary names
+MAX_NAME_CHARS: Final = 64  # of members and numberings
+MAX_GROUPS: Final = 3  # digests of a file in a summary; the most held ones are kept
+MAX_COUNT: Final = 20_000  # members; also the bound of all other counts
+MAX_NUMBER: Final = 1 << 62  # list numbers, incarnations and message counts
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Digest = Annotated[str, Meta(max_length=16)]
@@ -27,26 +27,32 @@
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
 Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
 Seconds = Annotated[float, Meta(ge=0, le=1e9)]
-Standings = tuple[Count, Count, Count, Count, Count, Count]  # in the order of `State`
+# The number of members in each state, in the order of `HealthState`.
+Standings = tuple[Count, Count, Count, Count, Count, Count]
 DigestCounts = tuple[tuple[Digest, Count], ...]
 
 
 class MessageOrder(NamedTuple):
-    """The order of a sender's messages: its incarnation, and a number within it."""
+    """The position of a message among those of its sender; later messages compare greater.
+
+    Attributes:
+        life: The sender's incarnation.
+        sequence: The number of the message within the incarnation.
+    """
 
     life: int
     sequence: int
 
 
 class CellFrontier(msgspec.Struct, array_like=True, frozen=True):
-    """What a quorum of a cell holds under one numbering, by the reporter's audit.
+    """The list version that a quorum of a cell holds under one numbering, by the reporter's audit.
 
     Attributes:
-        origin: The numbering.
-        number: The number that the quorum holds.
-        digest: Of the list; empty if no quorum holds one content.
-        holders: Members that hold it.
-        of: Members that use this numbering, those that report nothing included.
+        origin: The numbering: the discovery that numbers the lists.
+        number: The list number that the quorum holds.
+        digest: The digest of the list; empty if no quorum holds the same content.
+        holders: Members that hold this version.
+        of: Members that use this numbering, including those that report nothing.
     """
 
     origin: Origin
@@ -61,22 +67,22 @@
 
     Attributes:
         form: The format version.
-        layout: Digest of the layout.
+        layout: The digest of the layout.
         cell: The cell.
-        speaker: The reporter.
+        speaker: The reporter's name.
         life: The reporter's incarnation.
-        count: Rises with each report of the incarnation.
+        count: The number of the report within the incarnation.
         known: Members that have not left.
         live: Live members.
-        heard: Live members whose record is here and fresh, the reporter's own included.
+        heard: Live members whose status record the reporter has and that is not stale, including its own.
         ready: Members that are ready and in service.
-        out: Members that are out of service.
-        standings: Members by state of health.
-        fronts: The most used numberings.
-        more_fronts: Numberings that are left out.
+        out: Members that are quarantined.
+        standings: The number of members in each health state.
+        fronts: The frontiers of the most used numberings.
+        more_fronts: The number of frontiers that are left out.
         named: Some members that are behind, diverged or silent.
-        settings: Digests of the settings with their holders.
-        operation: Digests of the operator configuration with their holders.
+        settings: Digests of the settings, with the number of members that hold each.
+        operation: Digests of the operator configuration, with the number of members that hold each.
     """
 
     form: int
@@ -99,23 +105,23 @@
 
     @property
     def order(self) -> MessageOrder:
-        """Where it stands among the reporter's summaries."""
+        """The position of this summary among those of the reporter."""
         return MessageOrder(self.life, self.count)
 
 
 class FleetFrontier(msgspec.Struct, array_like=True, frozen=True):
-    """What the cells hold of one numbering that more than one of them uses.
+    """The list version that the cells hold of one numbering that more than one of them uses.
 
     Attributes:
-        origin: The numbering.
-        number: The number that two cells at least hold, or have gone past.
-        digest: Of the list, where all cells that hold the number agree.
-        holders: Members that hold it, in all cells heard.
+        origin: The numbering: the discovery that numbers the lists.
+        number: The highest list number that at least two cells hold or have passed.
+        digest: The digest of the list; empty unless all cells that hold the number agree.
+        holders: Members that hold the number or a higher one, in all cells whose reports are received.
         of: Members that use the numbering.
-        cells: Cells that use it.
-        behind: Of these, those whose quorum holds less.
-        age_s: Seconds since the collector first heard of the number.
-        in_force_s: Seconds from then until all members held it.
+        cells: Cells that use the numbering.
+        behind: Cells whose quorum holds a lower number.
+        age_s: Seconds since the collector first received the number.
+        in_force_s: Seconds from then until all members held it; None if some do not.
     """
 
     origin: Origin
@@ -130,26 +136,26 @@
 
 
 class FleetSummary(msgspec.Struct, array_like=True, frozen=True):
-    """A collector's sum over the cells that it hears.
+    """A collector's sum over the cells whose reports it receives.
 
     Attributes:
         form: The format version.
-        layout: Digest of the layout.
-        collector: The collector.
+        layout: The digest of the layout.
+        collector: The collector's name.
         life: The collector's incarnation.
-        count: Rises with each summary of the incarnation.
-        cells: Cells that the collector knows of.
-        heard: Cells that it hears.
+        count: The number of the summary within the incarnation.
+        cells: Cells that the collector knows.
+        heard: Cells with a current report.
         odds: Cells whose reporters disagree.
         known: Members that have not left.
         live: Live members.
         ready: Members that are ready and in service.
-        out: Members that are out of service.
-        standings: Members by state of health.
-        fronts: The most used numberings.
-        unheard: Some of the cells that are not heard any more.
-        settings: Digests of the settings with their holders.
-        operation: Digests of the operator configuration with their holders.
+        out: Members that are quarantined.
+        standings: The number of members in each health state.
+        fronts: The frontiers of the most used numberings.
+        unheard: Some of the cells whose reports are overdue.
+        settings: Digests of the settings, with the number of members that hold each.
+        operation: Digests of the operator configuration, with the number of members that hold each.
     """
 
     form: int
@@ -172,18 +178,26 @@
 
     @property
     def order(self) -> MessageOrder:
-        """Where it stands among the collector's summaries."""
+        """The position of this summary among those of the collector."""
         return MessageOrder(self.life, self.count)
 
 
 class SummaryReport(msgspec.Struct, tag="told", array_like=True, frozen=True):
-    """A reporter to a collector."""
+    """The message from a reporter to a collector.
+
+    Attributes:
+        summary: The reporter's summary of its cell.
+    """
 
     summary: CellSummary
 
 
 class FleetSummaryReply(msgspec.Struct, tag="answered", array_like=True, frozen=True):
-    """A collector to a reporter."""
+    """The reply from a collector to a reporter.
+
+    Attributes:
+        sum: The collector's summary of the fleet.
+    """
 
     sum: FleetSummary
 
@@ -197,32 +211,36 @@
 
 
 class SummaryRejectedError(ValueError):
-    """A message is not taken; the text says why, in a few words that are counted by."""
+    """A message is rejected. Its text is the reason, under which rejections are counted and published."""
 
 
 def encode(message: Message) -> bytes:
-    """Returns at most `MAX_MESSAGE_BYTES`; what does not fit is left out, the least used first."""
+    """Returns the encoded message, of at most `MAX_MESSAGE_BYTES`.
+
+    Until the message fits, the last entry of its longest list is dropped. Frontiers and digests are ordered
+    by use, so that the least used ones are dropped first.
+    """
     data = _encoder.encode(message)
     while len(data) > MAX_MESSAGE_BYTES:
         if isinstance(message, SummaryReport):
-            message = SummaryReport(_shortened(message.summary))
+            message = SummaryReport(_without_one_entry(message.summary))
         else:
-            message = FleetSummaryReply(_shortened(message.sum))
+            message = FleetSummaryReply(_without_one_entry(message.sum))
         data = _encoder.encode(message)
     return data
 
 
 def encode_fleet_summary(summary: FleetSummary) -> bytes:
-    """Returns the body of a record, bounded as `encode` bounds a message."""
+    """Returns a fleet summary as the body of a record, shortened to `MAX_MESSAGE_BYTES` as by `encode`."""
     data = _encoder.encode(summary)
     while len(data) > MAX_MESSAGE_BYTES:
-        summary = _shortened(summary)
+        summary = _without_one_entry(summary)
         data = _encoder.encode(summary)
     return data
 
 
-def _shortened(summary: Summary) -> Summary:
-    """The summary with one entry less in the longest of its lists."""
+def _without_one_entry(summary: Summary) -> Summary:
+    """Returns the summary without the last entry of the longest of its lists."""
     sizes = {
         field: len(_encoder.encode(getattr(summary, field)))
         for field in ("fronts", "named", "unheard", "settings", "operation")
@@ -231,16 +249,21 @@
     longest = max(sizes, key=lambda field: sizes[field])
     shorter = getattr(summary, longest)[:-1]
     if isinstance(summary, CellSummary) and longest == "fronts":
-        more = summary.more_fronts + 1
-        return msgspec.structs.replace(summary, fronts=shorter, more_fronts=more)
+        left_out = summary.more_fronts + 1
+        return msgspec.structs.replace(summary, fronts=shorter, more_fronts=left_out)
     return msgspec.structs.replace(summary, **{longest: shorter})
 
 
 def decode(data: bytes, layout: str) -> CellSummary | FleetSummary:
-    """Returns the summary in a message of this layout.
+    """Returns the summary in a message.
+
+    Args:
+        data: The encoded message.
+        layout: The digest of this node's layout.
 
     Raises:
-        SummaryRejectedError: The message is not well formed, or of another format or layout.
+        SummaryRejectedError: The message is too large or malformed, has impossible counts, or is of another
+            format or layout.
     """
     if len(data) > MAX_MESSAGE_BYTES:
         raise SummaryRejectedError("too large")
@@ -249,26 +272,30 @@
     except (msgspec.DecodeError, RecursionError):
         raise SummaryRejectedError("broken") from None
     summary = message.summary if isinstance(message, SummaryReport) else message.sum
-    _check(summary, layout)
+    _validate(summary, layout)
     return summary
 
 
 def decode_fleet_summary(body: bytes, layout: str) -> FleetSummary:
-    """Returns the summary in a record of this layout.
+    """Returns the summary in the body of a record.
+
+    Args:
+        body: The record's body.
+        layout: The digest of this node's layout.
 
     Raises:
-        SummaryRejectedError: The record is not well formed, or of another format or layout.
+        SummaryRejectedError: The record is malformed, or of another format or layout.
     """
     try:
         summary = _summary_decoder.decode(body)
     except (msgspec.DecodeError, RecursionError):
         raise SummaryRejectedError("broken") from None
-    _check(summary, layout)
+    _validate(summary, layout)
     return summary
 
 
-def _check(summary: CellSummary | FleetSummary, layout: str) -> None:
-    """Rejects what can be decoded and cannot be true."""
+def _validate(summary: CellSummary | FleetSummary, layout: str) -> None:
+    """Rejects a decoded summary of another format or layout, or with impossible content."""
     if summary.form != FORMAT_VERSION:
         raise SummaryRejectedError("another form")
     if summary.layout != layout:
@@ -281,7 +308,7 @@
 
 
 def _is_consistent(summary: CellSummary) -> bool:
-    """Whether no part is larger than its whole, and no numbering is named twice."""
+    """Returns whether no count exceeds its total, and no numbering occurs twice."""
     live = summary.live
     return (
         summary.heard <= live <= summary.known
@@ -293,6 +320,6 @@
 
 
 def most_held(holders: dict[str, int]) -> DigestCounts:
-    """Returns the digests that most members hold, with their counts."""
+    """Returns the `MAX_GROUPS` digests that most members hold, with their numbers of holders."""
     ordered = sorted(holders.items(), key=lambda item: (-item[1], item[0]))
     return tuple(ordered[:MAX_GROUPS])
--- a/loadbalancer/cells/rules.py
+++ b/loadbalancer/cells/rules.py
@@ -1,4 +1,4 @@
-"""Times of the collectors, and the events that they log."""
+"""Time rules of the collectors, and the events that they log."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 @dataclass(frozen=True)
 class CollectorRules:
-    """Times in microseconds, and numbers of periods.
+    """Time rules: times in microseconds, or as numbers of periods.
 
     Attributes:
-        period_us: Time between two reports of a reporter.
-        unheard_periods: A cell without a report for so many periods is unheard.
-        forget_us: After this time it is forgotten.
-        keep_us: A reporter that has stopped, while another reports, is shown for so long.
-        disagreement_periods: Reporters that differ for so many periods are at odds.
+        period_us: The time between two reports of a reporter.
+        overdue_periods: After this number of periods without a report a cell is overdue.
+        forget_us: After this time without a report a cell is forgotten.
+        stopped_reporter_us: How long a reporter that has stopped is still shown while another one reports.
+        disagreement_periods: Reporters that differ for this number of periods are logged as inconsistent.
     """
 
     period_us: int = 2_000_000
-    unheard_periods: int = 3
+    overdue_periods: int = 3
     forget_us: int = 600_000_000
-    keep_us: int = 60_000_000
+    stopped_reporter_us: int = 60_000_000
     disagreement_periods: int = 3
 
 
 @dataclass(frozen=True)
 class CellEvent:
-    """One event for the log.
+    """An event for the log.
 
     Attributes:
-        what: "cells summary overdue", "cells summary resumed", "cells summaries inconsistent",
+        event_name: "cells summary overdue", "cells summary resumed", "cells summaries inconsistent",
             "cells summaries consistent", "cells list outdated" or "cells list current".
-        cell: The cell.
-        why: The reason.
+        cell: The cell that the event is about.
+        detail: The reason, as text for the log; may be empty.
     """
 
-    what: str
+    event_name: str
     cell: int
-    why: str = ""
+    detail: str = ""
--- a/loadbalancer/cells/summarize.py
+++ b/loadbalancer/cells/summarize.py
@@ -1,4 +1,4 @@
-"""A reporter's summary of its cell, from its own audit's view of it. Pure."""
+"""Builds a reporter's summary of its cell from its own audit's view of the cell. Pure."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
     most_held,
 )
 
-STATES = tuple(HealthState)
-DIGEST_CHARS = 16
+HEALTH_STATES = tuple(HealthState)  # the order of `CellSummary.standings`
+DIGEST_CHARS = 16  # digests are cut to this length
 
 
 @dataclass(frozen=True, slots=True)
 class CellMembers:
-    """A cell's members.
+    """The members of a cell.
 
     Attributes:
-        known: How many have not left.
-        live: Names of those that live.
+        known: The number of members that have not left.
+        live: The names of the live members.
     """
 
     known: int
@@ -54,16 +54,16 @@
     members: CellMembers,
     fleet_view: FleetView | None,
 ) -> CellSummary:
-    """Returns what a reporter says of its cell.
+    """Returns a reporter's summary of its cell.
 
-    Only live members are counted, so that no count is higher than that of the live.
+    Only live members are counted, so that no count exceeds the number of live members.
 
     Args:
         layout: The layout of the cells.
         reporter: This node's name.
-        order: The node's incarnation, and a count within it.
+        order: The position of this summary among those of the node.
         members: The cell's members.
-        fleet_view: The audit's last judgement; None without an audit.
+        fleet_view: The audit's latest view of the cell; None without an audit.
     """
     live = members.live
     summary = CellSummary(
@@ -85,7 +85,7 @@
 def _with_fleet_view(
     summary: CellSummary, live: Sequence[str], fleet_view: FleetView
 ) -> CellSummary:
-    """Adds what the audit has found."""
+    """Returns the summary with the counts and frontiers from the audit's view."""
     received = _fresh_statuses(live, fleet_view)
     statuses = [entry.status for entry in received.values()]
     states = {
@@ -107,7 +107,7 @@
         standings=_standings(states),
         fronts=tuple(fronts[:MAX_FRONTIERS]),
         more_fronts=len(fronts[MAX_FRONTIERS:]),
-        named=_named(states),
+        named=_named_members(states),
         settings=most_held(
             Counter(status.settings[1][:DIGEST_CHARS] for status in statuses)
         ),
@@ -120,7 +120,7 @@
 def _fresh_statuses(
     live: Sequence[str], fleet_view: FleetView
 ) -> dict[str, ReceivedStatus]:
-    """The status records of live members that are not stale."""
+    """Returns the status records of live members that are not stale, by member."""
     return {
         name: received
         for name in live
@@ -130,22 +130,25 @@
 
 
 def _standings(states: Mapping[str, HealthState]) -> Standings:
+    """Returns the number of members in each health state."""
     counts = Counter(states.values())
-    first, second, third, fourth, fifth, sixth = (counts[state] for state in STATES)
+    first, second, third, fourth, fifth, sixth = (
+        counts[state] for state in HEALTH_STATES
+    )
     return first, second, third, fourth, fifth, sixth
 
 
-def _named(states: Mapping[str, HealthState]) -> tuple[str, ...]:
-    """Some members that are behind or diverged, then some that are silent."""
-    wrong = [name for name, state in states.items() if state in OUTDATED_STATES]
+def _named_members(states: Mapping[str, HealthState]) -> tuple[str, ...]:
+    """Returns the names of some members that are behind or diverged, then of silent ones."""
+    outdated = [name for name, state in states.items() if state in OUTDATED_STATES]
     silent = [name for name, state in states.items() if state == HealthState.SILENT]
-    return tuple(name[:MAX_NAME_CHARS] for name in [*wrong, *silent][:MAX_NAMES])
+    return tuple(name[:MAX_NAME_CHARS] for name in [*outdated, *silent][:MAX_NAMES])
 
 
 def _frontiers(
     received: Mapping[str, ReceivedStatus], live: int, fleet_view: FleetView
 ) -> list[CellFrontier]:
-    """The frontiers of the audit, the most used first."""
+    """Returns the audit's frontiers, the most used first; none until the audit's view has settled."""
     if not fleet_view.settled:
         return []
     ordered = sorted(
@@ -162,14 +165,14 @@
 def cell_frontier(
     frontier: Frontier, received: Mapping[str, ReceivedStatus], live: int
 ) -> CellFrontier:
-    """Returns a frontier of the audit with the members that hold it.
+    """Returns a frontier of the audit with the number of members that hold it.
 
-    Members that are out of service are not counted: the quorum is not one of theirs.
+    Quarantined members are not counted, because they do not vote on the frontier.
 
     Args:
         frontier: The audit's frontier.
-        received: Status records of the cell's live members.
-        live: How many members live.
+        received: The status records of the cell's live members, by member.
+        live: The number of live members.
     """
     voters = (
         entry.status
--- a/loadbalancer/cells/totals.py
+++ b/loadbalancer/cells/totals.py
@@ -1,4 +1,4 @@
-"""The sum over the summaries of all cells that a collector hears. Pure."""
+"""The sum over the summaries of all cells whose reports a collector receives. Pure."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 def add_up(
     empty: FleetSummary, cells: Sequence[CellSummary], fronts: list[FleetFrontier]
 ) -> FleetSummary:
-    """Returns the sum.
+    """Returns the fleet summary with the counts of all cells added up.
 
     Args:
-        empty: The sum without its counts.
-        cells: The summaries that count, one a cell.
-        fronts: All numberings that more than one cell uses.
+        empty: The fleet summary without counts.
+        cells: One summary of each cell.
+        fronts: The frontier of each numbering that more than one cell uses; the most used ones are kept.
     """
     ordered = sorted(fronts, key=lambda frontier: (-frontier.of, frontier.origin))
     return msgspec.structs.replace(
@@ -45,10 +45,12 @@
 
 
 def _bounded(count: int) -> int:
+    """Returns a count that the message format can carry: at most `MAX_COUNT`."""
     return min(MAX_COUNT, count)
 
 
 def _standings(cells: Iterable[CellSummary]) -> Standings:
+    """Adds up the counts of members by health state."""
     totals = [0] * 6
     for cell in cells:
         totals = [a + b for a, b in zip(totals, cell.standings, strict=True)]
@@ -56,8 +58,9 @@
     return first, second, third, fourth, fifth, sixth
 
 
-def _digests(of_cells: Iterable[DigestCounts]) -> DigestCounts:
+def _digests(counts_by_cell: Iterable[DigestCounts]) -> DigestCounts:
+    """Adds up the holders of each digest, and keeps the digests that most members hold."""
     totals: Counter[str] = Counter()
-    for held in of_cells:
-        totals.update(dict(held))
+    for counts in counts_by_cell:
+        totals.update(dict(counts))
     return most_held({digest: _bounded(count) for digest, count in totals.items()})
--- a/loadbalancer/node/features/cells.py
+++ b/loadbalancer/node/features/cells.py
@@ -34,7 +34,7 @@
     TimedSummary,
     collectors,
     is_worth_reporting,
-    latest,
+    latest_record,
     reporters,
 )
 from loadbalancer.cells.rules import CollectorRules
@@ -101,7 +101,7 @@
         self.report_count = 0
         self.random = Random(host.seed() ^ host.now())
         self.poller = DiscoveryPoller(self.random.getrandbits(SEED_BITS))
-        max_age_us = self.rules.unheard_periods * self.rules.period_us
+        max_age_us = self.rules.overdue_periods * self.rules.period_us
         self.replies = CollectorReplies(max_age_us)
         self.collector: Collector | None = None
         if host.name in config.collectors:
@@ -165,7 +165,9 @@
         now = self.host.now()
         if self.collector is not None:
             for event in self.collector.tick(now):
-                self.host.log_event(event.what, cell=event.cell, reason=event.why)
+                self.host.log_event(
+                    event.event_name, cell=event.cell, reason=event.detail
+                )
         if self.host.name in self.reporters():
             self.report(now, self.records)
         elif self.reported is not None:
@@ -336,7 +338,7 @@
     def read_fleet_summary(self, now: int, records: Records) -> None:
         """Takes the fleet's summary from the records of this cell's reporters."""
         found = (records.get(name, KIND) for name in self.reporters())
-        record = latest(record for record in found if record is not None)
+        record = latest_record(record for record in found if record is not None)
         if record is None:
             self.fleet = self.fleet_record = None
             return
--- a/loadbalancer/node/features/cells_page.py
+++ b/loadbalancer/node/features/cells_page.py
@@ -9,7 +9,7 @@
 
 from loadbalancer.cells.collector import CellState, ReceivedSummary
 from loadbalancer.cells.messages import CellSummary, FleetSummary
-from loadbalancer.cells.summarize import STATES
+from loadbalancer.cells.summarize import HEALTH_STATES
 
 US_PER_S = 1e6
 # Of a message, and not of what it says.
@@ -54,7 +54,7 @@
     table["fronts"] = [msgspec.structs.asdict(front) for front in summary.fronts]
     table["standings"] = {
         state.value: count
-        for state, count in zip(STATES, summary.standings, strict=True)
+        for state, count in zip(HEALTH_STATES, summary.standings, strict=True)
     }
     for name in ("settings", "operation"):
         table[name] = dict(getattr(summary, name))
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -290,7 +290,7 @@
 MANY = ["n2", "n3", "n5", "n7", "n8", "n10", "n12", "n13"]
 COLLECTORS = ["n2", "n5"]
 TELLING = {"count": 3, "collectors": COLLECTORS}
-QUICK = CollectorRules(period_us=150_000, unheard_periods=6)
+QUICK = CollectorRules(period_us=150_000, overdue_periods=6)
 
 
 @pytest.fixture
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -141,7 +141,7 @@
         for kind, fraction in (
             ("lost", lost),
             ("slow", slow),
-            ("well", 1 - lost - slow),
+            ("healthy", 1 - lost - slow),
         ):
             carry = node.carry.get((zone, kind), 0.0) + fraction * calls
             for _ in range(int(carry)):
