--- a/loadbalancer/lab/scale/gossip.py
+++ b/loadbalancer/lab/scale/gossip.py
@@ -123,7 +123,7 @@
 
 def beat_of(size: int) -> float:
     """Seconds between two words of a member of a fleet of so many."""
-    return RecordRules().heartbeat_among(size) / SECOND
+    return RecordRules().heartbeat_interval_us(size) / SECOND
 
 
 def rest(size: int, seed: int) -> dict[str, float]:
--- a/loadbalancer/lab/scale/world.py
+++ b/loadbalancer/lab/scale/world.py
@@ -75,7 +75,7 @@
         """Seconds between two beats of an owner in the flat fleet, of 400 members at most; all is timed by
         it, so that the events of a flat fleet and of one in cells come at the same moments.
         """
-        return RecordRules().heartbeat_among(min(self.size, 400)) / SECOND
+        return RecordRules().heartbeat_interval_us(min(self.size, 400)) / SECOND
 
     def draw(self) -> random.Random:
         return random.Random(f"scene/{self.seed}")
--- a/loadbalancer/node/features/records.py
+++ b/loadbalancer/node/features/records.py
@@ -85,7 +85,7 @@
             ),
             "stale_after_s": table.stale_after_us / 1e6,
             "lost": dict(self.channel.counters.dropped),
-            **table.counters.figures(),
+            **table.counters.as_metrics(),
         }
 
     def received(self, data: bytes, source: Address) -> None:
--- a/loadbalancer/records/interface.py
+++ b/loadbalancer/records/interface.py
@@ -1,10 +1,10 @@
-"""What a feature of the node sees of the records that are replicated among the members.
+"""The interface through which a node's features use the records that are replicated among the members.
 
-A record is (owner, kind) -> (version, body). A node writes only its own records. Versions only rise, across
-restarts too: a node that finds a newer version of its own record from an earlier incarnation continues above
-it. Merging is commutative, associative and idempotent, so loss, reordering and repetition do no harm. Records
-of members that have been dead for longer than the rule allows are dropped; those whose owner has been silent
-for too long are marked stale.
+A record maps (owner, kind) to (version, body). A node writes only its own records. Versions only rise, also
+across restarts: a node that receives a newer version of its own record from an earlier incarnation continues
+above that version. Merging is commutative, associative and idempotent, so loss, reordering and duplication of
+datagrams do no harm. Records of members that have been dead for longer than `RecordRules.drop_after_us` are
+dropped; records whose owner has been silent for longer than the stale timeout are marked stale.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-MAX_BODY_BYTES = 1_000  # a record travels in one datagram
+MAX_BODY_BYTES = 1_000  # a record must fit in one datagram
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,11 +22,11 @@
 
     Attributes:
         owner: Name of the member that wrote it.
-        kind: What it is about: "audit", "evidence", ...; at most 32 characters.
-        version: Rises with each write of the owner.
+        kind: The subject of the record, such as "audit" or "evidence"; at most 32 characters.
+        version: Number of the version; rises with each write of the owner.
         body: The content, at most `MAX_BODY_BYTES`.
         received_at_us: When this node received this version, in monotonic microseconds.
-        stale: Whether the owner has been silent for too long.
+        stale: Whether the owner has sent no heartbeat for longer than the stale timeout.
     """
 
     owner: str
@@ -38,17 +38,22 @@
 
 
 class Records(Protocol):
-    """The replicated records as one node holds them."""
+    """The replicated records as stored on one node."""
 
     def put(self, kind: str, body: bytes) -> None:
-        """Writes this node's own record of a kind; an unchanged body is not a new version.
+        """Writes this node's own record of a kind; an unchanged body does not create a new version.
+
+        Args:
+            kind: The kind of the record, 1 to 32 characters.
+            body: The content, at most `MAX_BODY_BYTES`; an empty body withdraws the record.
 
         Raises:
-            ValueError: The body is larger than `MAX_BODY_BYTES`.
+            ValueError: The body is larger than `MAX_BODY_BYTES`, the length of the kind is out of bounds,
+                or the node has too many kinds of records.
         """
 
     def get(self, owner: str, kind: str) -> Record | None:
-        """Returns one record, or None if it is not known."""
+        """Returns the record of an owner and kind, or None if it is not known."""
 
     def of(self, kind: str) -> Sequence[Record]:
         """Returns all records of a kind, sorted by owner."""
--- a/loadbalancer/records/messages.py
+++ b/loadbalancer/records/messages.py
@@ -1,8 +1,8 @@
 """The datagrams of the anti-entropy protocol: bounded, versioned, MessagePack by msgspec.
 
-A `Digest` announces how far owners have come, a `RecordRequest` asks for records that are missing, and a
-`RecordResponse` brings them. `decode` refuses what does not decode, has another protocol version or is out of
-range; the caller counts and drops it.
+A `Digest` announces the latest version vector entries of owners, a `RecordRequest` asks for missing records,
+and a `RecordResponse` carries them. `decode` rejects datagrams that cannot be decoded, have another protocol
+version or contain a value out of range; the caller counts and drops them.
 """
 
 from __future__ import annotations
@@ -19,13 +19,15 @@
 from loadbalancer.records.interface import MAX_BODY_BYTES
 
 PROTOCOL_VERSION = 1
-MAX_COUNTER = 1 << 47  # of a counter or version: one more must still encode
-MAX_DATAGRAM_BYTES = 1_300  # what a shared transport leaves of 1,400, with a margin
-FRAME_BYTES = 32  # around the content of a message
-OWNER_KEY_BYTES = 6  # an owner's name can have 64 characters, its key is short
+MAX_COUNTER = 1 << 47  # highest counter or version; one above it must still encode
+MAX_DATAGRAM_BYTES = (
+    1_300  # what a shared transport leaves of 1,400 bytes, with a margin
+)
+FRAME_BYTES = 32  # reserved for the encoding around the content of a message
+OWNER_KEY_BYTES = 6  # the key stands for an owner's name of up to 64 characters
 MAX_OWNER_NAME_CHARS = 64
 MAX_KIND_CHARS = 32
-BUCKET_COUNT = 32
+BUCKET_COUNT = 32  # buckets of owners, each with one checksum in an exchange
 ENTRY_LAYOUT = struct.Struct(">6sHII")  # owner key, counter (48 bits), checksum
 BUCKET_CHECKSUMS_LAYOUT = struct.Struct(f">{BUCKET_COUNT}I")
 
@@ -33,11 +35,11 @@
 
 
 class VersionVectorEntry(msgspec.Struct, frozen=True, order=True):
-    """How far one owner has come.
+    """The state of one owner's records in short form; the higher entry is the newer one.
 
     Attributes:
         counter: Rises with each announcement of the owner.
-        checksum: Over all records of the owner, 32 bits.
+        checksum: Checksum over all records of the owner, 32 bits.
     """
 
     counter: int = 0
@@ -45,11 +47,11 @@
 
 
 class DigestReply(enum.IntEnum):
-    """Which digest the sender of a digest wants in return."""
+    """The digest that the sender of a digest requests in return."""
 
     NONE = 0
-    NEWER = 1  # newer entries of the owners that the digest names
-    ALL = 2  # and the entries of all owners that it does not name
+    NEWER = 1  # the receiver's newer entries of the owners that the digest lists
+    ALL = 2  # as NEWER, and the entries of all owners that the digest does not list
 
 
 class Digest(msgspec.Struct, tag=1, array_like=True, frozen=True):
@@ -57,8 +59,8 @@
 
     Attributes:
         entries: Packed entries, see `pack_entry`.
-        reply: The digest wanted in return.
-        bucket_checksums: Packed by `BUCKET_CHECKSUMS_LAYOUT`, or empty. The receiver answers with its entries
+        reply: The digest requested in return.
+        bucket_checksums: Packed by `BUCKET_CHECKSUMS_LAYOUT`, or empty. The receiver replies with its entries
             of buckets that differ.
     """
 
@@ -68,7 +70,7 @@
 
 
 class KnownRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A record that the requester has already, so that it is not sent again."""
+    """Version and body checksum of a record that the requester already has, so that it is not sent again."""
 
     kind: str
     version: int
@@ -76,7 +78,7 @@
 
 
 class OwnerRequest(msgspec.Struct, array_like=True, frozen=True):
-    """The owner whose newer records are requested, and those that the requester has."""
+    """Requests the newer records of one owner and lists those that the requester already has."""
 
     owner_key: bytes
     known: list[KnownRecord] = []
@@ -98,7 +100,7 @@
 
 
 class RecordResponse(msgspec.Struct, tag=3, array_like=True, frozen=True):
-    """Records, and the packed entries of their owners as the sender has them."""
+    """Records, and the packed entries of their owners as stored by the sender."""
 
     entries: bytes
     records: list[RecordUpdate]
@@ -115,19 +117,19 @@
 
 
 class RecordsEnvelope(msgspec.Struct, array_like=True, frozen=True):
-    """A message with the version of the protocol that it belongs to."""
+    """A message with its protocol version; the content of one datagram."""
 
     version: int
     message: Message
 
 
 class MalformedRecordsDatagramError(LoadBalancerError, ValueError):
-    """A datagram to the records is not well formed; counted as `malformed` and dropped."""
+    """A datagram of the records protocol is not well formed; counted as `malformed` and dropped."""
 
     code: ClassVar[str] = "RecordsMalformed"
     remedy: ClassVar[str] = (
-        "give all nodes of the fleet one version of the program; if they have it,"
-        " find who else sends to the port"
+        "run the same version of the program on all nodes of the fleet; if they already do,"
+        " find out which other program sends to the port"
     )
 
 
@@ -152,19 +154,19 @@
         raise MalformedRecordsDatagramError(f"malformed datagram: {error}") from None
     if envelope.version != PROTOCOL_VERSION:
         raise MalformedRecordsDatagramError(
-            f"version {envelope.version}, this member speaks {PROTOCOL_VERSION}"
+            f"protocol version {envelope.version} is not supported; this member supports {PROTOCOL_VERSION}"
         )
     message = envelope.message
     if isinstance(message, Digest):
         _check_entries(message.entries)
         if len(message.bucket_checksums) not in (0, BUCKET_CHECKSUMS_LAYOUT.size):
             raise MalformedRecordsDatagramError(
-                f"the number of bucket checksums is not {BUCKET_COUNT}"
+                f"the number of bucket checksums in a digest is not {BUCKET_COUNT}"
             )
     elif isinstance(message, RecordRequest):
         if any(len(owner.owner_key) != OWNER_KEY_BYTES for owner in message.owners):
             raise MalformedRecordsDatagramError(
-                f"an owner key does not have {OWNER_KEY_BYTES} bytes"
+                f"a record request has an owner key that is not {OWNER_KEY_BYTES} bytes long"
             )
     else:
         _check_entries(message.entries)
@@ -175,7 +177,9 @@
 
 def _check_entries(packed_entries: bytes) -> None:
     if len(packed_entries) % ENTRY_LAYOUT.size:
-        raise MalformedRecordsDatagramError("the packed entries are cut off")
+        raise MalformedRecordsDatagramError(
+            "packed entries are truncated: their length is not a multiple of the entry size"
+        )
 
 
 def _check_update(update: RecordUpdate) -> None:
@@ -184,22 +188,22 @@
         or not 0 < len(update.kind) <= MAX_KIND_CHARS
     ):
         raise MalformedRecordsDatagramError(
-            "an owner's name or a kind is empty or too long"
+            "a record has an owner name or a kind that is empty or too long"
         )
     if not 0 < update.version <= MAX_COUNTER or len(update.body) > MAX_BODY_BYTES:
         raise MalformedRecordsDatagramError(
-            f"a record of {update.owner!r} is out of range"
+            f"a record of owner {update.owner!r} has a version or a body size out of range"
         )
 
 
 def pack_entry(owner_key: bytes, entry: VersionVectorEntry) -> bytes:
-    """Returns an owner's entry as 16 bytes."""
+    """Packs an owner's key and entry into 16 bytes."""
     high, low = entry.counter >> 32, entry.counter & 0xFFFFFFFF
     return ENTRY_LAYOUT.pack(owner_key, high, low, entry.checksum)
 
 
 def split_entries(packed_entries: bytes) -> Iterator[bytes]:
-    """Yields packed entries one by one; those already known need not be unpacked."""
+    """Yields the packed entries one by one, still packed: a caller can compare them without unpacking."""
     size = ENTRY_LAYOUT.size
     return (
         packed_entries[start : start + size]
@@ -208,7 +212,7 @@
 
 
 def unpack_entry(packed_entry: bytes) -> VersionVectorEntry:
-    """Returns the entry of 16 bytes; a counter out of range becomes 0, which no owner announces."""
+    """Unpacks an entry from 16 bytes; a counter out of range becomes 0, which no owner announces."""
     _, high, low, checksum = ENTRY_LAYOUT.unpack(packed_entry)
     counter = high << 32 | low
     return VersionVectorEntry(counter if counter <= MAX_COUNTER else 0, checksum)
@@ -221,12 +225,12 @@
 
 
 def checksum(data: bytes) -> int:
-    """Returns a checksum of 32 bits."""
+    """Returns a checksum of 32 bits over some bytes."""
     return int.from_bytes(blake2b(data, digest_size=4).digest(), "big")
 
 
 def batches(parts: Sequence[Part]) -> Iterator[list[Part]]:
-    """Yields the parts of a message in as few lists as fit in a datagram each."""
+    """Splits the parts of a message into lists that each fit in one datagram, in their order."""
     batch: list[Part] = []
     remaining_bytes = MAX_DATAGRAM_BYTES - FRAME_BYTES
     for part in parts:
--- a/loadbalancer/records/own_records.py
+++ b/loadbalancer/records/own_records.py
@@ -1,4 +1,8 @@
-"""The records that this node owns, and how they get above those of its earlier incarnations."""
+"""The records that this node owns, and how their versions rise above those of earlier incarnations.
+
+After a restart a node knows nothing of the records that its earlier incarnation wrote, while other members
+still store them. It raises its counter and versions above theirs, so that its own records win.
+"""
 
 from __future__ import annotations
 
@@ -20,12 +24,12 @@
     """Writes this node's records and announces them.
 
     Args:
-        replicas: Where the records are stored.
-        queue: Takes the own entry when it has risen.
-        fetches: Requests records of an earlier incarnation from members that have them.
+        replicas: Stores the records.
+        queue: Disseminates this node's entry when it has risen.
+        fetches: Requests records of an earlier incarnation from members that store them.
         counters: Counts the entries of earlier incarnations.
-        withdraw_after_us: Records of an earlier incarnation that are not written again are withdrawn after
-            this time.
+        withdraw_after_us: Time in microseconds after which records of an earlier incarnation that have not
+            been written again are withdrawn.
     """
 
     def __init__(
@@ -37,27 +41,41 @@
         withdraw_after_us: int,
     ) -> None:
         self.replicas = replicas
-        self.state = replicas.own
+        self.owner = replicas.own
         self.queue = queue
         self.fetches = fetches
         self.counters = counters
         self.withdraw_after_us = withdraw_after_us
         self.written_kinds: set[str] = set()
-        self.withdraw_at_us: dict[str, int] = {}  # kinds of an earlier incarnation
+        self.withdraw_at_us: dict[str, int] = {}  # by kind of an earlier incarnation
 
     def put(self, kind: str, body: bytes, now_us: int) -> bool:
-        """Writes a record; returns whether it has changed. An empty body withdraws it.
+        """Writes a record; an empty body withdraws it.
+
+        Args:
+            kind: The kind of the record, 1 to `MAX_KIND_CHARS` characters.
+            body: The content, at most `MAX_BODY_BYTES`.
+            now_us: The current time in microseconds.
+
+        Returns:
+            Whether the record has changed.
 
         Raises:
             ValueError: The body or the kind is out of bounds, or there are too many kinds.
         """
         if len(body) > MAX_BODY_BYTES:
-            raise ValueError(f"a record of {len(body)} bytes: at most {MAX_BODY_BYTES}")
+            raise ValueError(
+                f"record body has {len(body)} bytes, more than the maximum of {MAX_BODY_BYTES}"
+            )
         if not 0 < len(kind) <= MAX_KIND_CHARS:
-            raise ValueError(f"a kind of {len(kind)} characters: 1 to {MAX_KIND_CHARS}")
-        stored = self.state.records.get(kind)
-        if stored is None and len(self.state.records) >= MAX_KINDS_PER_OWNER:
-            raise ValueError(f"more than {MAX_KINDS_PER_OWNER} kinds of records")
+            raise ValueError(
+                f"record kind has {len(kind)} characters; it must have 1 to {MAX_KIND_CHARS}"
+            )
+        stored = self.owner.records.get(kind)
+        if stored is None and len(self.owner.records) >= MAX_KINDS_PER_OWNER:
+            raise ValueError(
+                f"a node cannot have more than {MAX_KINDS_PER_OWNER} kinds of records"
+            )
         self.written_kinds.add(kind)
         self.withdraw_at_us.pop(kind, None)
         if stored is not None and stored.body == body:
@@ -66,72 +84,90 @@
         return True
 
     def withdraw_all(self, now_us: int) -> None:
-        """Withdraws all records."""
-        for kind, stored in self.state.records.items():
+        """Withdraws all records of this node."""
+        for kind, stored in self.owner.records.items():
             if stored.body:
                 self._write(kind, b"", stored.version, now_us)
 
     def withdraw_expired(self, now_us: int) -> None:
-        """Withdraws records of an earlier incarnation that this one has not written in time."""
-        for kind in [k for k, at in self.withdraw_at_us.items() if now_us >= at]:
+        """Withdraws records of an earlier incarnation that this one has not written again in time."""
+        for kind in [k for k, at_us in self.withdraw_at_us.items() if now_us >= at_us]:
             del self.withdraw_at_us[kind]
-            self._write(kind, b"", self.state.records[kind].version, now_us)
+            self._write(kind, b"", self.owner.records[kind].version, now_us)
 
     def heartbeat(self) -> None:
-        """Raises the own entry without new records."""
+        """Raises the counter of this node's entry without new records."""
         self._announce(has_new_records=False)
 
-    def entry_announced(self, entry: VersionVectorEntry, source: Address) -> None:
-        """A member has a newer entry of this node, which must be of an earlier incarnation."""
+    def on_entry_announced(self, entry: VersionVectorEntry, source: Address) -> None:
+        """Handles a newer entry of this node from a member; it must be of an earlier incarnation."""
         self.counters.earlier_incarnations += 1
-        self._announce(has_new_records=True, above=entry.counter)
-        if entry.checksum != self.state.records_checksum:
-            self.fetches.request(self.state, source)
+        self._announce(has_new_records=True, previous_counter=entry.counter)
+        if entry.checksum != self.owner.records_checksum:
+            self.fetches.request(self.owner, source)
+
+    def on_record_received(self, kind: str, record: StoredRecord, now_us: int) -> None:
+        """Handles a record of this node that a member has sent back.
 
-    def record_received(self, kind: str, record: StoredRecord, now_us: int) -> None:
-        """A record of this node comes back from a member."""
-        stored = self.state.records.get(kind)
+        If it wins over a record that this incarnation has written with another body, this node's record is
+        written again with a higher version. Otherwise it is stored, and is withdrawn later unless this
+        incarnation writes the kind.
+        """
+        stored = self.owner.records.get(kind)
         if not record.supersedes(stored):
             return
-        written = kind in self.written_kinds
-        if stored is not None and written and stored.body != record.body:
+        is_written = kind in self.written_kinds
+        if stored is not None and is_written and stored.body != record.body:
             self._write(kind, stored.body, record.version, now_us)
             return
-        if not written and record.body:
+        if not is_written and record.body:
             self.withdraw_at_us[kind] = now_us + self.withdraw_after_us
-        self.replicas.store(self.state, kind, record)
+        self.replicas.store(self.owner, kind, record)
         self._announce(has_new_records=True)
 
-    def known_by_member(
+    def on_records_requested(
         self, known: Sequence[KnownRecord], source: Address, now_us: int
     ) -> None:
-        """A member requests this node's records, and names those that it has.
+        """Handles a request for this node's records, which lists those that the requester has.
+
+        These may be of an earlier incarnation and win over this node's records. The response that would have
+        shown this can be lost, and no member announces their entry again once this node's counter is above
+        it.
 
-        They may be of an earlier incarnation and win over this node's. The response that would have told so
-        can be lost, and nobody announces their entry again once this node's own counter is above it.
+        Args:
+            known: The records that the requester has.
+            source: Address of the requester.
+            now_us: The current time in microseconds.
         """
-        for other in known:
-            stored = self.state.records.get(other.kind)
-            if other.version > MAX_COUNTER:
+        for known_record in known:
+            stored = self.owner.records.get(known_record.kind)
+            if known_record.version > MAX_COUNTER:
                 continue
             if stored is not None:
-                if other.version < stored.version:
+                if known_record.version < stored.version:
                     continue
-                if (other.version, other.checksum) == (stored.version, stored.checksum):
+                if (known_record.version, known_record.checksum) == (
+                    stored.version,
+                    stored.checksum,
+                ):
                     continue
-                if other.kind in self.written_kinds:
-                    self._write(other.kind, stored.body, other.version, now_us)
+                if known_record.kind in self.written_kinds:
+                    self._write(
+                        known_record.kind, stored.body, known_record.version, now_us
+                    )
                     continue
-            if not self.fetches.is_requested(self.state, source):
-                self.fetches.request(self.state, source)
+            if not self.fetches.is_requested(self.owner, source):
+                self.fetches.request(self.owner, source)
 
-    def _write(self, kind: str, body: bytes, above: int, now_us: int) -> None:
-        record = StoredRecord(min(above + 1, MAX_COUNTER), body, now_us)
-        self.replicas.store(self.state, kind, record)
+    def _write(
+        self, kind: str, body: bytes, previous_version: int, now_us: int
+    ) -> None:
+        record = StoredRecord(min(previous_version + 1, MAX_COUNTER), body, now_us)
+        self.replicas.store(self.owner, kind, record)
         self._announce(has_new_records=True)
 
-    def _announce(self, *, has_new_records: bool, above: int = 0) -> None:
-        """Raises the own entry, above a given counter, and queues it."""
-        counter = min(max(self.state.entry.counter, above) + 1, MAX_COUNTER)
-        self.state.advance(VersionVectorEntry(counter, self.state.records_checksum))
-        self.queue.add(self.state.key, has_new_records=has_new_records)
+    def _announce(self, *, has_new_records: bool, previous_counter: int = 0) -> None:
+        """Raises the counter of this node's entry, also above a given one, and queues the entry."""
+        counter = min(max(self.owner.entry.counter, previous_counter) + 1, MAX_COUNTER)
+        self.owner.advance(VersionVectorEntry(counter, self.owner.records_checksum))
+        self.queue.add(self.owner.key, has_new_records=has_new_records)
--- a/loadbalancer/records/rules.py
+++ b/loadbalancer/records/rules.py
@@ -1,4 +1,4 @@
-"""Timing and rate limits of the anti-entropy protocol; `docs/records.md` has the measured figures."""
+"""Timing and rate limits of the anti-entropy protocol; docs/records.md has the measured figures."""
 
 from __future__ import annotations
 
@@ -13,35 +13,36 @@
 MAX_ENTRIES_PER_DIGEST = (
     MAX_DATAGRAM_BYTES - 20 - BUCKET_CHECKSUMS_LAYOUT.size
 ) // ENTRY_LAYOUT.size
-MAX_OVERDUE_ENTRIES = 10  # of a digest, for owners whose heartbeat is overdue
-MAX_BUCKETS_PER_REPLY = 8  # updates in flight make many buckets differ
+MAX_OVERDUE_ENTRIES = 10  # entries in a digest for owners whose heartbeat is overdue
+MAX_BUCKETS_PER_REPLY = 8  # a bound, because updates in flight make many buckets differ
 MAX_KINDS_PER_OWNER = 16
-GROUP_KIND = "cell"  # the record that names the layout its owner goes by, if any
-FULL_EXCHANGES_AFTER_JOIN = 2  # that ask for the entries of all owners
-BURST_S = 2  # of the byte budget that may be spent at once
+GROUP_KIND = "cell"  # kind of the record with the layout that its owner follows, if any
+FULL_EXCHANGES_AFTER_JOIN = 2  # exchanges that request the entries of all owners
+BURST_S = 2  # seconds of the byte rate that may be sent at once
 MAX_FETCH_SOURCES = 3  # members that are asked in turn
-MAX_FETCH_ATTEMPTS = 4
+MAX_FETCH_ATTEMPTS = 4  # requests until a fetch is given up
 
 
 @dataclass(frozen=True)
 class RecordRules:
-    """Times in microseconds, rates in bytes a second.
+    """Timing and rate limits; times are in microseconds, rates in bytes per second.
 
     Attributes:
-        push_interval_us: Least time between two pushes of new entries.
-        push_fanout: Members that receive each push.
+        push_interval_us: Minimum time between two pushes of new entries.
+        push_fanout: Number of members that receive each push.
         retransmissions: How often an entry is pushed, and then sent with exchanges.
-        exchange_interval_us: Time between two exchanges with one random member.
-        heartbeat_us: An owner's counter rises at least this often ...
-        heartbeat_per_member_us: ... or, with many members, this often for each of them.
-        stale_after_heartbeats: An owner that misses this many heartbeats is stale, ...
-        min_stale_us: ... but not before this time.
-        fetch_retry_us: Without a response another member is asked.
-        drop_after_us: Records of an owner that is not live are kept this long.
-        withdraw_after_us: Records of an earlier incarnation that this one does not write are kept this long.
-        base_rate_bytes_per_s: What this node may send, ...
-        rate_per_member_bytes_per_s: ... with this much more for each member, ...
-        max_rate_bytes_per_s: ... but never more than this.
+        exchange_interval_us: Time between two exchanges, each with one random member.
+        heartbeat_us: Minimum time between two heartbeats of an owner.
+        heartbeat_per_member_us: Time between two heartbeats for each member; it applies where it gives more
+            than `heartbeat_us`.
+        stale_after_heartbeats: Number of missed heartbeats after which an owner is stale.
+        min_stale_us: Minimum silence before an owner is stale.
+        fetch_retry_us: Time to wait for a response before another member is asked.
+        drop_after_us: How long records of an owner that is not live are kept.
+        withdraw_after_us: How long records of an earlier incarnation that this one does not write are kept.
+        base_rate_bytes_per_s: Rate at which a node without peers may send.
+        rate_per_member_bytes_per_s: Added to the rate for each peer.
+        max_rate_bytes_per_s: Upper bound of the rate.
     """
 
     push_interval_us: int = 100_000
@@ -59,16 +60,20 @@
     rate_per_member_bytes_per_s: int = 200
     max_rate_bytes_per_s: int = 64_000
 
-    def heartbeat_among(self, members: int) -> int:
-        """Returns the time between two heartbeats of an owner, in microseconds."""
-        return max(self.heartbeat_us, self.heartbeat_per_member_us * members)
+    def heartbeat_interval_us(self, member_count: int) -> int:
+        """Returns the time between two heartbeats of an owner in a fleet of this size, in microseconds."""
+        return max(self.heartbeat_us, self.heartbeat_per_member_us * member_count)
 
-    def stale_among(self, members: int) -> int:
-        """Returns the silence after which an owner is stale, in microseconds."""
-        missed_us = self.stale_after_heartbeats * self.heartbeat_among(members)
+    def stale_timeout_us(self, member_count: int) -> int:
+        """Returns the silence after which an owner is stale in a fleet of this size, in microseconds."""
+        missed_us = self.stale_after_heartbeats * self.heartbeat_interval_us(
+            member_count
+        )
         return max(self.min_stale_us, missed_us)
 
-    def rate_to(self, peers: int) -> int:
-        """Returns the bytes a second that a node with so many peers may send on average."""
-        rate = self.base_rate_bytes_per_s + self.rate_per_member_bytes_per_s * peers
+    def rate_limit_bytes_per_s(self, peer_count: int) -> int:
+        """Returns the average rate at which a node with that many peers may send, in bytes per second."""
+        rate = (
+            self.base_rate_bytes_per_s + self.rate_per_member_bytes_per_s * peer_count
+        )
         return min(self.max_rate_bytes_per_s, rate)
--- a/loadbalancer/records/state.py
+++ b/loadbalancer/records/state.py
@@ -23,20 +23,33 @@
 
 @dataclass
 class Counters:
-    """Totals since the start of the process."""
+    """Totals since the start of the process.
+
+    Attributes:
+        sent: Datagrams sent.
+        sent_bytes: Bytes of these datagrams.
+        received: Well-formed datagrams received.
+        malformed: Malformed datagrams, which were dropped.
+        unknown_owners: Received entries, requests and records of owners that are not known.
+        rate_limited: Datagrams that the byte budget did not allow.
+        updates: Received records that were newer than the stored ones.
+        requested: Owners whose records were requested.
+        earlier_incarnations: Received entries of this node that were newer than its own, which it therefore
+            announced in an earlier incarnation.
+    """
 
     sent: int = 0
     sent_bytes: int = 0
     received: int = 0
     malformed: int = 0
-    unknown_owners: int = 0  # entries and records of owners that are not live
-    rate_limited: int = 0  # datagrams that the byte budget did not allow
-    updates: int = 0  # records that were newer than the stored ones
+    unknown_owners: int = 0
+    rate_limited: int = 0
+    updates: int = 0
     requested: int = 0
-    earlier_incarnations: int = 0  # newer entries of this node that it did not announce
+    earlier_incarnations: int = 0
 
-    def figures(self) -> dict[str, int]:
-        """Returns the totals under their published names."""
+    def as_metrics(self) -> dict[str, int]:
+        """Returns the totals by the metric names under which they are published."""
         return {
             "sent": self.sent,
             "sent_bytes": self.sent_bytes,
@@ -55,10 +68,10 @@
     """One version of a record in the replica set.
 
     Attributes:
-        version: As the owner wrote it.
+        version: The version that the owner gave it.
         body: The content; empty if the owner has withdrawn the record.
         received_at_us: When this node received it, in monotonic microseconds.
-        digest: Of the body; decides between two bodies of one version.
+        digest: Hash of the body; decides between two bodies of the same version.
     """
 
     version: int
@@ -70,7 +83,7 @@
         self.digest = blake2b(self.body, digest_size=16).digest()
 
     def supersedes(self, other: StoredRecord | None) -> bool:
-        """Whether this record wins over another; a total order, so that replicas converge."""
+        """Whether this record wins over another; the order is total, so that replicas converge."""
         return other is None or (self.version, self.digest) > (
             other.version,
             other.digest,
@@ -82,7 +95,7 @@
         return int.from_bytes(self.digest[:4], "big")
 
     def is_missing(self, known: KnownRecord | None) -> bool:
-        """Whether a requester that knows the given version, if any, lacks this one."""
+        """Whether a requester that has the given record, or none, needs this one."""
         if known is None or self.version > known.version:
             return True
         return self.version == known.version and self.checksum != known.checksum
@@ -93,10 +106,10 @@
     """An owner's newer entry whose records are being fetched.
 
     Attributes:
-        entry: The entry that the records do not agree with yet.
-        sources: Members that announced it, asked in turn.
-        attempts: Requests sent so far.
-        next_attempt_us: When the next source is asked.
+        entry: The entry with which the stored records do not agree yet.
+        sources: Addresses of members that announced it, which are asked in turn.
+        attempts: Number of requests sent so far.
+        next_attempt_us: When the next source is asked, in monotonic microseconds.
     """
 
     entry: VersionVectorEntry
@@ -107,17 +120,17 @@
 
 @dataclass
 class OwnerState:
-    """What this node holds of one owner.
+    """The records of one owner as stored on this node.
 
     Attributes:
         name: The owner's name.
         key: The short key of the name.
         entry: The highest entry that agrees with the stored records.
-        packed_entry: The same as it is sent.
+        packed_entry: The same entry as it is sent, see `pack_entry`.
         records: Stored records by kind.
-        advanced_at_us: When the entry last rose.
+        advanced_at_us: When the entry last rose, in monotonic microseconds.
         dead_since_us: When the owner stopped being live; None while it is live.
-        records_checksum: Over all stored records.
+        records_checksum: Checksum over all stored records, 32 bits.
         fetch: The fetch in progress, if any.
     """
 
@@ -132,11 +145,11 @@
     fetch: PendingFetch | None = None
 
     def advance(self, entry: VersionVectorEntry) -> None:
-        """Takes over an entry that agrees with the stored records."""
+        """Replaces the entry by a newer one that agrees with the stored records."""
         self.entry, self.packed_entry = entry, pack_entry(self.key, entry)
 
     def store(self, kind: str, record: StoredRecord) -> None:
-        """Replaces the record of a kind."""
+        """Replaces the record of a kind and updates the checksum over all records."""
         self.records[kind] = record
         parts = (
             f"{stored_kind}\0{stored.version}\0".encode() + stored.digest
@@ -146,9 +159,9 @@
 
     @property
     def bucket_contribution(self) -> int:
-        """What the owner adds to the checksum of its bucket.
+        """The owner's share of the checksum of its bucket.
 
-        0 without records, since nodes differ for a while in which members they know.
+        It is 0 without records, because nodes differ for a while in which members they know.
         """
         if not self.records:
             return 0
@@ -163,7 +176,7 @@
         return OwnerRequest(self.key, known)
 
     def response_to(self, known: Iterable[KnownRecord]) -> list[ResponsePart]:
-        """Returns the records that a requester lacks, the owner's entry with the last of them."""
+        """Returns the records that a requester lacks; the last one also carries the owner's entry."""
         known_by_kind = {record.kind: record for record in known}
         updates = [
             RecordUpdate(self.name, kind, record.version, record.body)
@@ -177,7 +190,17 @@
 
 
 class ReplicaSet:
-    """All owners that this node knows, with the bucket checksums over their records."""
+    """All owners that this node knows, with the bucket checksums over their records.
+
+    Args:
+        name: Name of this node, which is an owner itself.
+
+    Attributes:
+        own: The state of this node as an owner.
+        owners: All owners by name.
+        by_key: All owners by key.
+        bucket_checksums: One checksum for each bucket of owners.
+    """
 
     def __init__(self, name: str) -> None:
         self.own = OwnerState(name, owner_key(name))
@@ -187,7 +210,7 @@
         self.bucket_checksums = [0] * BUCKET_COUNT
 
     def add(self, name: str, now_us: int) -> None:
-        """Adds an owner without records; a name whose key is taken is left out."""
+        """Adds an owner without records; a name whose key is already in use is ignored."""
         key = owner_key(name)
         if key in self.by_key:
             return
@@ -197,13 +220,13 @@
 
     def store(self, owner: OwnerState, kind: str, record: StoredRecord) -> None:
         """Replaces an owner's record and updates the checksum of its bucket."""
-        before = owner.bucket_contribution
+        old_contribution = owner.bucket_contribution
         owner.store(kind, record)
-        change = before ^ owner.bucket_contribution
+        change = old_contribution ^ owner.bucket_contribution
         self.bucket_checksums[bucket_of(owner.key)] ^= change
 
     def silent_owners(self, since_us: int) -> list[bytes]:
-        """Returns the keys of live owners with records whose entry has not risen since."""
+        """Returns the keys of live owners that have records and whose entry has not risen since a time."""
         return [
             owner.key
             for owner in self.owners.values()
@@ -213,11 +236,11 @@
         ]
 
     def drop(self, owner: OwnerState) -> None:
-        """Forgets an owner and its records."""
+        """Removes an owner and its records."""
         del self.owners[owner.name], self.by_key[owner.key]
         self.bucket_checksums[bucket_of(owner.key)] ^= owner.bucket_contribution
 
 
 def bucket_of(key: bytes) -> int:
-    """Returns the bucket of an owner's key."""
+    """Returns the number of the bucket to which an owner's key belongs."""
     return key[0] % BUCKET_COUNT
--- a/loadbalancer/records/table.py
+++ b/loadbalancer/records/table.py
@@ -1,6 +1,6 @@
-"""One member's replica of the records: the events of the host and the messages of other members.
+"""One member's replica of the records: handles events of the host and messages of other members.
 
-The package's docstring describes the protocol.
+The docstring of the package describes the protocol.
 """
 
 from __future__ import annotations
@@ -52,9 +52,15 @@
 
     Args:
         name: This member's name.
-        seed: Of the random draws, together with the name.
+        seed: Seed of the random number generator, in combination with the name.
         rules: Timing and rate limits.
-        now_us: The present time.
+        now_us: The current time.
+
+    Attributes:
+        peers: Names of the live members without this one, sorted.
+        addresses: Addresses of the peers by name.
+        full_exchanges_left: Exchanges that are still to request the entries of all owners.
+        layout_digest: The layout that selects the members; empty if all members are in one group.
     """
 
     def __init__(
@@ -64,8 +70,8 @@
         self.random = random.Random(f"{seed}/{name}")
         self.now_us = now_us
         self.replicas = ReplicaSet(name)
-        self.peers: list[str] = []  # live members but this one, sorted
-        self.addresses: dict[str, Address] = {}  # of the peers
+        self.peers: list[str] = []
+        self.addresses: dict[str, Address] = {}
         self.counters = Counters()
         self.outbox = Outbox(self.rate_bytes_per_s, self.counters)
         self.queue = DisseminationQueue(self.rules.retransmissions)
@@ -83,10 +89,18 @@
         self.next_push_us = self.next_exchange_us = now_us
         self.next_heartbeat_us = now_us + self.heartbeat_us
         self.next_drop_us = now_us + self.rules.drop_after_us
-        self.group_mark = b""  # of the layout that selects the members; empty: none
+        self.layout_digest = b""
 
     def put(self, now_us: int, kind: str, body: bytes) -> bool:
-        """Writes this node's own record; returns whether it has changed. An empty body withdraws it.
+        """Writes this node's own record of a kind; an empty body withdraws it.
+
+        Args:
+            now_us: The current time.
+            kind: The kind of the record.
+            body: The content.
+
+        Returns:
+            Whether the record has changed.
 
         Raises:
             ValueError: The body or the kind is out of bounds, or there are too many kinds.
@@ -94,35 +108,43 @@
         self.advance_clock(now_us)
         return self.own.put(kind, body, self.now_us)
 
-    def change_group(self, now_us: int, mark: bytes) -> list[SendDatagram]:
-        """Prepares for other members, which a layout selects.
+    def change_group(self, now_us: int, layout_digest: bytes) -> list[SendDatagram]:
+        """Prepares for a change of the members to those that another layout selects.
 
-        This node's records are withdrawn from the members so far, some of whom are told at once. From now on
-        records of owners that go by another layout are not shown: such an owner reaches this node seldom, by
-        way of the few that still count it as a member, and would be judged by old records.
+        This node's records are withdrawn from the previous members, and some of these are notified at once.
+        From now on records of owners that follow another layout are not returned: updates of such an owner
+        reach this node rarely, through the few nodes that still count it as a member, so decisions about it
+        would be based on old records.
 
         Args:
-            now_us: The present time.
-            mark: Common to all who go by the layout; empty if all members are in one group.
+            now_us: The current time.
+            layout_digest: Common to all nodes that follow the layout; empty if all members are in one group.
+
+        Returns:
+            The datagrams to send.
         """
         self.advance_clock(now_us)
         self.own.withdraw_all(self.now_us)
         self.next_push_us = self.now_us
         self._push()
-        self.group_mark = mark
-        if mark or GROUP_KIND in self.replicas.own.records:
-            self.put(now_us, GROUP_KIND, mark)
+        self.layout_digest = layout_digest
+        if layout_digest or GROUP_KIND in self.replicas.own.records:
+            self.put(now_us, GROUP_KIND, layout_digest)
         return self.outbox.take()
 
     def get(self, owner_name: str, kind: str) -> Record | None:
-        """Returns one record; None if it is unknown, withdrawn or of another group."""
+        """Returns one record; None if it is unknown, withdrawn or of an owner with another layout."""
         owner = self.replicas.owners.get(owner_name)
         stored = owner.records.get(kind) if owner is not None else None
         if owner is None or stored is None or not stored.body:
             return None
-        if self.group_mark and owner is not self.replicas.own:
-            mark = owner.records.get(GROUP_KIND)
-            if mark is not None and mark.body and mark.body != self.group_mark:
+        if self.layout_digest and owner is not self.replicas.own:
+            layout_record = owner.records.get(GROUP_KIND)
+            if (
+                layout_record is not None
+                and layout_record.body
+                and layout_record.body != self.layout_digest
+            ):
                 return None
         return Record(
             owner_name,
@@ -135,46 +157,46 @@
 
     def of(self, kind: str) -> list[Record]:
         """Returns all records of a kind, sorted by owner."""
-        found = (self.get(owner, kind) for owner in sorted(self.replicas.owners))
-        return [record for record in found if record is not None]
+        records = (self.get(owner, kind) for owner in sorted(self.replicas.owners))
+        return [record for record in records if record is not None]
 
     def is_stale(self, owner: OwnerState) -> bool:
-        """Whether the owner has been silent for too long."""
+        """Whether an owner's entry has not risen for `stale_after_us`; this node itself is never stale."""
         silent_us = self.now_us - owner.advanced_at_us
         return owner is not self.replicas.own and silent_us > self.stale_after_us
 
     @property
     def heartbeat_us(self) -> int:
         """Microseconds between two heartbeats of an owner."""
-        return self.rules.heartbeat_among(len(self.peers) + 1)
+        return self.rules.heartbeat_interval_us(len(self.peers) + 1)
 
     @property
     def stale_after_us(self) -> int:
         """Microseconds of silence after which an owner is stale."""
-        return self.rules.stale_among(len(self.peers) + 1)
+        return self.rules.stale_timeout_us(len(self.peers) + 1)
 
     @property
     def rate_bytes_per_s(self) -> int:
-        """Bytes a second that this node may send on average."""
-        return self.rules.rate_to(len(self.peers))
+        """Average rate at which this node may send, in bytes per second."""
+        return self.rules.rate_limit_bytes_per_s(len(self.peers))
 
     # ---- events --------------------------------------------------------------------------------------------
 
     def advance_clock(self, now_us: int) -> None:
-        """Moves the time on and refills the byte budget; time that goes back stands still."""
+        """Advances the time and refills the byte budget; a time before the current one counts as the same."""
         elapsed_us = max(0, now_us - self.now_us)
         self.now_us += elapsed_us
         self.outbox.refill(elapsed_us, self.rate_bytes_per_s)
 
     def set_live_members(self, now_us: int, live: Mapping[str, Address]) -> None:
-        """The membership has changed.
+        """Replaces the set of live members after a change of the membership.
 
         Args:
-            now_us: The present time.
+            now_us: The current time.
             live: Addresses of the live members by name; this node itself may be among them.
         """
         self.advance_clock(now_us)
-        if not self.peers:  # this node has just joined, or was alone
+        if not self.peers:  # this node has just joined, or was isolated
             self.full_exchanges_left = FULL_EXCHANGES_AFTER_JOIN
         peers = {name: address for name, address in live.items() if name != self.name}
         self.addresses.clear()
@@ -192,7 +214,7 @@
                 owner.dead_since_us = self.now_us
 
     def tick(self, now_us: int) -> list[SendDatagram]:
-        """Does all that is due."""
+        """Runs everything that is due and returns the datagrams to send."""
         self.advance_clock(now_us)
         if self.now_us >= self.next_drop_us:
             self._drop_dead_owners()
@@ -211,7 +233,7 @@
         return self.outbox.take()
 
     def receive(self, now_us: int, data: bytes, source: Address) -> list[SendDatagram]:
-        """Handles a datagram from a member."""
+        """Handles a datagram from a member and returns the datagrams to send."""
         self.advance_clock(now_us)
         try:
             message = decode(data)
@@ -229,7 +251,7 @@
         return self.outbox.take()
 
     def next_deadline(self) -> int:
-        """Returns when `tick` is to be called at the latest, in microseconds."""
+        """Returns the latest time for the next call of `tick`, in microseconds."""
         times = [self.next_heartbeat_us, self.next_drop_us]
         times += self.own.withdraw_at_us.values()
         if self.peers:
@@ -242,7 +264,8 @@
     # ---- messages ------------------------------------------------------------------------------------------
 
     def _on_digest(self, digest: Digest, source: Address) -> None:
-        newer_keys: list[bytes] = []  # owners whose stored entry is above the sender's
+        # Owners whose stored entry is newer than the sender's.
+        newer_keys: list[bytes] = []
         named_keys: set[bytes] = set()
         for packed_entry in split_entries(digest.entries):
             key = packed_entry[:OWNER_KEY_BYTES]
@@ -267,23 +290,23 @@
         self, owner: OwnerState, entry: VersionVectorEntry, source: Address
     ) -> None:
         if entry > owner.entry and owner is self.replicas.own:
-            self.own.entry_announced(entry, source)
+            self.own.on_entry_announced(entry, source)
         elif entry.checksum == owner.records_checksum:
             self._adopt(owner, entry)
         else:
-            self.fetches.announced(owner, entry, source, self.now_us)
+            self.fetches.on_entry_announced(owner, entry, source, self.now_us)
 
     def _answer_buckets(self, packed_checksums: bytes, source: Address) -> None:
-        """Sends the entries of some of the buckets that differ."""
-        theirs = BUCKET_CHECKSUMS_LAYOUT.unpack(packed_checksums)
-        differing = [
+        """Sends the entries of some of the buckets whose checksums differ."""
+        peer_checksums = BUCKET_CHECKSUMS_LAYOUT.unpack(packed_checksums)
+        differing_buckets = [
             bucket
             for bucket, own_checksum in enumerate(self.replicas.bucket_checksums)
-            if own_checksum != theirs[bucket]
+            if own_checksum != peer_checksums[bucket]
         ]
-        count = min(MAX_BUCKETS_PER_REPLY, len(differing))
-        chosen = set(self.random.sample(differing, count))
-        keys = [key for key in self.replicas.by_key if bucket_of(key) in chosen]
+        count = min(MAX_BUCKETS_PER_REPLY, len(differing_buckets))
+        chosen_buckets = set(self.random.sample(differing_buckets, count))
+        keys = [key for key in self.replicas.by_key if bucket_of(key) in chosen_buckets]
         self._send_digests(keys, DigestReply.NEWER, source)
 
     def _on_request(self, request: RecordRequest, source: Address) -> None:
@@ -294,12 +317,12 @@
                 self.counters.unknown_owners += 1
                 continue
             if owner is self.replicas.own:
-                self.own.known_by_member(owner_request.known, source, self.now_us)
+                self.own.on_records_requested(owner_request.known, source, self.now_us)
             parts += owner.response_to(owner_request.known)
         for batch in batches(parts):
             entries = b"".join([part.entry for part in batch])
             records = [part.record for part in batch]
-            self.outbox.post(RecordResponse(entries, records), source)
+            self.outbox.enqueue(RecordResponse(entries, records), source)
 
     def _on_response(self, response: RecordResponse) -> None:
         for update in response.records:
@@ -318,7 +341,7 @@
         if owner is None:
             self.counters.unknown_owners += 1
         elif owner is self.replicas.own:
-            self.own.record_received(update.kind, record, self.now_us)
+            self.own.on_record_received(update.kind, record, self.now_us)
         elif record.supersedes(owner.records.get(update.kind)) and (
             update.kind in owner.records or len(owner.records) < MAX_KINDS_PER_OWNER
         ):
@@ -329,11 +352,11 @@
                 self._adopt(owner, fetch.entry)
 
     def _adopt(self, owner: OwnerState, entry: VersionVectorEntry) -> None:
-        """Takes over an entry that agrees with the stored records, and passes it on."""
+        """Adopts an entry that agrees with the stored records, and disseminates it."""
         has_new_records = entry.checksum != owner.entry.checksum
         owner.advance(entry)
         owner.advanced_at_us = self.now_us
-        self.fetches.reached(owner, entry)
+        self.fetches.complete(owner, entry)
         self.queue.add(owner.key, has_new_records=has_new_records)
 
     # ---- dissemination -------------------------------------------------------------------------------------
@@ -347,12 +370,14 @@
         digest = Digest(self._packed_entries(keys))
         count = min(self.rules.push_fanout, len(self.peers))
         targets = self.random.sample(self.peers, count)
-        sent = [self.outbox.post(digest, self.addresses[name]) for name in targets]
-        if any(sent):  # else the budget is spent, and they are pushed later
+        enqueued = [
+            self.outbox.enqueue(digest, self.addresses[name]) for name in targets
+        ]
+        if any(enqueued):  # otherwise the budget is exhausted: retry later
             self.queue.mark_pushed(keys)
 
     def _exchange(self) -> None:
-        """Sends one random member the latest heartbeats, some overdue entries and the bucket checksums."""
+        """Sends one random member the latest heartbeats, some overdue entries and all bucket checksums."""
         heartbeats = list(self.queue.exchanged)
         heartbeats = heartbeats[: MAX_ENTRIES_PER_DIGEST - MAX_OVERDUE_ENTRIES]
         overdue = self.replicas.silent_owners(self.now_us - self.heartbeat_us * 3 // 2)
@@ -362,7 +387,7 @@
         target = self.random.choice(self.peers)
         checksums = BUCKET_CHECKSUMS_LAYOUT.pack(*self.replicas.bucket_checksums)
         digest = Digest(self._packed_entries(keys), reply, checksums)
-        if self.outbox.post(digest, self.addresses[target]):
+        if self.outbox.enqueue(digest, self.addresses[target]):
             self.full_exchanges_left = max(0, self.full_exchanges_left - 1)
             self.queue.mark_exchanged(heartbeats)
 
@@ -371,13 +396,13 @@
     ) -> None:
         for start in range(0, len(keys), MAX_ENTRIES_PER_DIGEST):
             entries = self._packed_entries(keys[start : start + MAX_ENTRIES_PER_DIGEST])
-            self.outbox.post(Digest(entries, reply), target)
+            self.outbox.enqueue(Digest(entries, reply), target)
 
     def _send_requests(self) -> None:
-        """Sends the requests that this event has called for, joined by member."""
+        """Sends the requests that result from the current event, combined for each member."""
         for target, owners in self.fetches.take_requests().items():
             for batch in batches([owner.missing_records() for owner in owners]):
-                if self.outbox.post(RecordRequest(batch), target):
+                if self.outbox.enqueue(RecordRequest(batch), target):
                     self.counters.requested += len(batch)
 
     def _packed_entries(self, keys: Iterable[bytes]) -> bytes:
@@ -395,5 +420,5 @@
                 self.fetches.discard(owner.key)
 
     def _jitter(self, time_us: int) -> int:
-        """Draws a time from 3/4 to 5/4 of the given one, so that members do not keep step."""
+        """Draws a time from 3/4 to 5/4 of the given one, so that members do not act in step."""
         return time_us * 3 // 4 + self.random.randrange(max(1, time_us // 2))
