--- a/loadbalancer/membership/anti_entropy.py
+++ b/loadbalancer/membership/anti_entropy.py
@@ -1,7 +1,8 @@
-"""Anti-entropy: exchanges of whole member tables, which repair what gossip has missed.
+"""Anti-entropy: exchanges of complete member tables, which repair what gossip has missed.
 
-A member asks another now and then whether both hold the same members live. Equal digests cost two small
-datagrams; otherwise the answer is the whole table, and the asker sends its own in turn if it holds more.
+A member periodically asks another whether both have the same live members. If their digests are equal, the
+exchange costs two small datagrams. Otherwise the reply is the complete table, and the requester sends its own
+table in return if the two still differ.
 """
 
 from __future__ import annotations
@@ -29,7 +30,13 @@
 
 @dataclass(frozen=True)
 class PendingComparison:
-    """A reply of which further datagrams may still arrive; digests are compared at `due_us`."""
+    """A reply of which more datagrams may still arrive, and whose digest is to be compared later.
+
+    Attributes:
+        address: The member that replied.
+        digest: Digest of that member's table.
+        due_us: When the digests are compared.
+    """
 
     address: Address
     digest: int
@@ -37,24 +44,34 @@
 
 
 class AntiEntropy:
-    """When this member exchanges tables, with whom, and what it sends."""
+    """Decides when this member exchanges tables, with which member, and what it sends.
+
+    Args:
+        context: State that all modules of this member share.
+        dissemination: Builds the datagrams.
+
+    Attributes:
+        next_sync_us: When the next periodic request is due.
+    """
 
     def __init__(self, context: Context, dissemination: Dissemination) -> None:
         self._context = context
         self._dissemination = dissemination
         self.next_sync_us = context.settings.sync_interval_us
-        # Until the sync after the next; doubles while tables differ
+        # Time from the next sync to the one after it; doubles while tables differ.
         self._interval_us = 0
         self._comparison: PendingComparison | None = None
-        self._knew_nobody = True  # when it sent its last request
-        self._busy_until_us = 0  # lists sent so far use up the budget until then
+        # Whether this member knew no others when it sent its last request.
+        self._requested_without_members = True
+        # The tables sent so far use up the budget until then.
+        self._budget_spent_until_us = 0
 
     def schedule_after_join(self) -> None:
-        """Syncs again soon: members that joined at the same time learn of each other."""
+        """Schedules an early sync, so that members that joined at the same time discover each other."""
         self.next_sync_us = self._context.now_us + self._short_interval_us()
 
     def schedule_after_arrival(self) -> None:
-        """Syncs soon after a member arrived or recovered: where many do, gossip misses some."""
+        """Schedules an early sync after a member joined or recovered: if many do, gossip misses some."""
         now_us = self._context.now_us
         self._interval_us = delay_us = self._gossip_delay_us()
         if self.next_sync_us > now_us + 2 * delay_us:
@@ -74,32 +91,33 @@
         return actions
 
     def request(self, address: Address) -> SendDatagram:
-        """Asks whoever is at an address for its table.
+        """Requests the table of the member at an address, which may be unknown.
 
-        The request states this member alone: an address where nobody answers must not cost a list each time.
+        The request lists only this member: an address at which no member answers must not cost a complete
+        table each time.
         """
         table = self._context.table
-        self._knew_nobody = not table.members
+        self._requested_without_members = not table.members
         message = Sync(is_reply=False, digest=table.digest)
         return self._send_members(address, [table.local], message)[0]
 
     def on_sync(self, message: Sync, source: Address) -> list[SendDatagram]:
-        """Answers a request, or notes the digest in the last datagram of a reply."""
+        """Replies to a request, or stores the digest in the last datagram of a reply for comparison."""
         if not message.is_reply:
-            return self._answer(source, message.digest)
+            return self._reply(source, message.digest)
         if message.digest != NO_DIGEST:
             due_us = self._context.now_us + SYNC_REPLY_WINDOW_US
             self._comparison = PendingComparison(source, message.digest, due_us)
         return []
 
     def send_table(self, address: Address, message: Sync) -> list[SendDatagram]:
-        """Sends all that is known, in as many datagrams as it takes."""
+        """Sends the complete member table in as many datagrams as it needs."""
         table = self._context.table
         members = [table.local, *table.sorted_members()]
         return self._send_members(address, members, message)
 
     def _periodic_sync(self, seeds: Sequence[Address]) -> list[SendDatagram]:
-        """Asks one member, or all seeds if no member is alive."""
+        """Requests the table of one live member, or of all seeds if no member is alive."""
         now_us = self._context.now_us
         alive = self._context.table.sample_alive(1)
         if not alive:
@@ -110,11 +128,11 @@
         self.next_sync_us = now_us + self._interval_us
         return [self.request(alive[0].address)]
 
-    def _answer(self, address: Address, digest: int) -> list[SendDatagram]:
-        """Sends the whole table; the digest alone where it is the same.
+    def _reply(self, address: Address, digest: int) -> list[SendDatagram]:
+        """Replies with the complete table, or with the digest alone if both digests are equal.
 
-        Where many ask at once, those beyond the budget get as many members as one datagram holds, and ask
-        one of these.
+        If many members ask at once, those beyond the budget receive as many members as fit in one datagram,
+        and request the table from one of these.
         """
         table = self._context.table
         if digest == table.digest:
@@ -127,39 +145,42 @@
             data, _ = encode_bounded(envelope, updates)
             return [self._dissemination.send(address, data)]
         reply = Sync(is_reply=True, digest=table.digest)
-        return self._charge(self.send_table(address, reply))
+        return self._charge_budget(self.send_table(address, reply))
 
     def _compare(self, comparison: PendingComparison) -> list[SendDatagram]:
-        """After a reply: if the tables still differ, sends this member's table to the answerer.
+        """Sends this member's table to the member that replied if the tables still differ after the reply.
 
-        This carries no digest, which ends the exchange.
+        The table carries no digest, which ends the exchange.
         """
         if comparison.digest == self._context.table.digest:
             self._interval_us = self._full_interval_us()
             self.next_sync_us = self._context.now_us + self._interval_us
             return []
-        # Who knew nobody when it asked has nothing to add.
-        if self._knew_nobody or not self._has_budget():
+        # A member that knew no others when it sent the request has nothing to add.
+        if self._requested_without_members or not self._has_budget():
             return []
-        return self._charge(self.send_table(comparison.address, Sync(is_reply=True)))
+        return self._charge_budget(
+            self.send_table(comparison.address, Sync(is_reply=True))
+        )
 
     def _send_members(
         self, address: Address, members: list[Member], message: Sync
     ) -> list[SendDatagram]:
-        """Sends members in as many datagrams as it takes; only the last carries the digest."""
+        """Sends members in as many datagrams as they need; only the last one carries the digest."""
         updates = self._updates(members)
         actions: list[SendDatagram] = []
         while True:
             batch = updates[:MAX_UPDATES_PER_DATAGRAM]
             data, count = encode_bounded(self._dissemination.envelope(message), batch)
-            if message.digest != NO_DIGEST and count < len(updates):  # not the last
+            # If this is not the last datagram, encode it again without the digest.
+            if message.digest != NO_DIGEST and count < len(updates):
                 without_digest = Sync(message.is_reply)
                 data, count = encode_bounded(
                     self._dissemination.envelope(without_digest), batch[:count]
                 )
             actions.append(self._dissemination.send(address, data))
             updates = updates[max(1, count) :]
-            # One answer is wanted, not one to each datagram.
+            # Only the first datagram is a request, so that it gets one reply and not one per datagram.
             message = Sync(is_reply=True, digest=message.digest)
             if not updates:
                 return actions
@@ -170,23 +191,23 @@
 
     def _has_budget(self) -> bool:
         burst_us = SYNC_BURST_DATAGRAMS * SYNC_DATAGRAM_COST_US
-        return self._busy_until_us <= self._context.now_us + burst_us
+        return self._budget_spent_until_us <= self._context.now_us + burst_us
 
-    def _charge(self, actions: list[SendDatagram]) -> list[SendDatagram]:
-        start_us = max(self._context.now_us, self._busy_until_us)
-        self._busy_until_us = start_us + len(actions) * SYNC_DATAGRAM_COST_US
+    def _charge_budget(self, actions: list[SendDatagram]) -> list[SendDatagram]:
+        start_us = max(self._context.now_us, self._budget_spent_until_us)
+        self._budget_spent_until_us = start_us + len(actions) * SYNC_DATAGRAM_COST_US
         return actions
 
     def _short_interval_us(self) -> int:
         return SYNC_PERIODS * self._context.settings.probe_interval_us
 
     def _gossip_delay_us(self) -> int:
-        """Time in which gossip should have brought what is new, of however many members."""
+        """Time in which gossip should have delivered an update; grows with the number of live members."""
         delay_us = self._context.table.live_count * GOSSIP_DELAY_PER_MEMBER_US
         return self._short_interval_us() + delay_us
 
     def _full_interval_us(self) -> int:
-        """Time between two syncs while tables agree."""
+        """Time between two syncs while tables agree, in microseconds."""
         settings = self._context.settings
         scale = self._context.table.live_count // settings.sync_members
         return settings.sync_interval_us * max(1, scale)
--- a/loadbalancer/membership/dissemination.py
+++ b/loadbalancer/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: member updates ride on the protocol's datagrams, each a bounded number of times."""
+"""Dissemination: member updates are piggybacked on the protocol's datagrams a bounded number of times."""
 
 from __future__ import annotations
 
@@ -26,21 +26,25 @@
 
 @dataclass
 class QueuedUpdate:
-    """One update, and on how many more datagrams it rides."""
+    """One update, and on how many more datagrams it is to be sent."""
 
     update: MemberUpdate
     transmissions_left: int
 
 
 class Dissemination:
-    """Queue of updates, and the datagrams that carry them."""
+    """Queues member updates and builds the datagrams that carry them.
+
+    Args:
+        context: State that all modules of this member share.
+    """
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._queue: dict[str, QueuedUpdate] = {}  # by the member's name
 
     def enqueue(self, update: MemberUpdate) -> None:
-        """Disseminates an update, in place of an earlier one about the same member."""
+        """Queues an update for dissemination, replacing an earlier one about the same member."""
         size = len(self._context.table.members) + 2
         transmissions = self._context.settings.retransmit_ratio * math.ceil(
             math.log10(size)
@@ -48,11 +52,11 @@
         self._queue[update.name] = QueuedUpdate(update, transmissions)
 
     def discard(self, name: str) -> None:
-        """Disseminates no more about a member."""
+        """Removes the queued update about a member, if there is one."""
         self._queue.pop(name, None)
 
     def clear(self) -> None:
-        """Disseminates nothing of what is queued."""
+        """Removes all queued updates."""
         self._queue.clear()
 
     def datagram(
@@ -61,11 +65,14 @@
         message: Ping | PingRequest | Ack | Nack,
         subject: Member | None = None,
     ) -> SendDatagram:
-        """A message with the updates that fit, those with most transmissions left first.
+        """Builds a datagram with a message and the updates that fit, most transmissions left first.
 
-        `subject` is a member of which the receiver should hear in any case: its update precedes the others.
+        Args:
+            address: The receiver.
+            message: The message to send.
+            subject: A member whose state the receiver must get in any case; its update precedes the others.
         """
-        # Only as many as could fit: a join of hundreds must not encode them all each time.
+        # Select only as many as could fit: when hundreds join, encoding all of them each time costs too much.
         queued = heapq.nlargest(
             MAX_UPDATES_PER_DATAGRAM,
             self._queue.values(),
@@ -81,13 +88,13 @@
         return self.send(address, data)
 
     def ping(self, target: Member, sequence: int) -> SendDatagram:
-        """A direct probe, which tells the target if it is not held alive (Lifeguard's buddy system)."""
+        """Builds a direct probe, which notifies a target that is not believed alive (the buddy system)."""
         is_alive = target.state == MemberState.ALIVE
         suspected = NO_INCARNATION if is_alive else target.incarnation
         return self.datagram(target.address, Ping(sequence, target.name, suspected))
 
     def envelope(self, message: Message) -> MembershipEnvelope:
-        """A message of this member, without updates."""
+        """Wraps a message of this member in an envelope without updates."""
         local = self._context.local
         return MembershipEnvelope(
             PROTOCOL_VERSION,
@@ -99,7 +106,7 @@
         )
 
     def send(self, address: Address, data: bytes) -> SendDatagram:
-        """Counts a datagram as sent."""
+        """Returns the action that sends a datagram, and counts it as sent."""
         assert len(data) <= MAX_DATAGRAM_BYTES
         self._context.counters.sent += 1
         self._context.counters.sent_bytes += len(data)
--- a/loadbalancer/membership/failure_detector.py
+++ b/loadbalancer/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detector: direct and indirect probes (SWIM), and the local health multiplier (Lifeguard)."""
+"""Failure detector: direct and indirect probes (SWIM) with the local health multiplier (Lifeguard)."""
 
 from __future__ import annotations
 
@@ -21,13 +21,18 @@
 
 @dataclass
 class Probe:
-    """The probe of the present period.
+    """The probe of the current period; times are in microseconds.
 
     Attributes:
-        indirect_at_us: when indirect probes are requested.
-        end_us: end of the period, when the probe has failed.
-        relay_count: members asked for an indirect probe.
-        nacks: relays that answered that they had no ack.
+        target: Name of the probed member.
+        sequence: Sequence number of the ping.
+        start_us: When the ping was sent.
+        indirect_at_us: When indirect probes are requested.
+        end_us: End of the period; without an ack until then the probe has failed.
+        is_acked: Whether an ack has arrived, direct or relayed.
+        is_indirect: Whether indirect probes were requested, even if there was no relay.
+        relay_count: Number of members asked for an indirect probe.
+        nacks: Names of the relays that reported that they got no ack.
     """
 
     target: str
@@ -36,19 +41,26 @@
     indirect_at_us: int
     end_us: int
     is_acked: bool = False
-    is_indirect: bool = False  # indirect probes were requested, or there was no relay
+    is_indirect: bool = False
     relay_count: int = 0
     nacks: set[str] = field(default_factory=set)
 
     @property
     def due_us(self) -> int:
-        """When something is to be done about it."""
+        """When the failure detector must next act on this probe."""
         return self.end_us if self.is_acked or self.is_indirect else self.indirect_at_us
 
 
 @dataclass
 class RelayedPing:
-    """A ping that this member sent on behalf of another; a nack goes out at the deadline."""
+    """A ping that this member sent on behalf of another; a nack is sent at the deadline.
+
+    Attributes:
+        origin: Address of the member that requested the ping.
+        origin_sequence: Sequence number that this member uses for its probe.
+        target: Name of the pinged member.
+        deadline_us: When the wait for an ack ends, in microseconds.
+    """
 
     origin: Address
     origin_sequence: int
@@ -57,7 +69,18 @@
 
 
 class FailureDetector:
-    """Probes one member in each period, serves other members' indirect probes, and ends suspicions."""
+    """Probes one member per period, serves the indirect probes of other members, and resolves suspicions.
+
+    Args:
+        context: State that all modules of this member share.
+        dissemination: Builds the datagrams.
+        probe_round: Selects the member to probe next.
+        suspicions: The suspicions to check.
+        transitions: Applies the results of the probes to the members.
+
+    Attributes:
+        next_probe_us: When the next period starts.
+    """
 
     def __init__(
         self,
@@ -77,13 +100,13 @@
         self.next_probe_us = 0
 
     def start(self) -> None:
-        """Draws when the first period begins, so that members do not probe in step."""
+        """Draws a random start of the first period, so that members do not probe in step."""
         interval_us = self._context.settings.probe_interval_us
         delay_us = self._context.random.randrange(interval_us)
         self.next_probe_us = self._context.now_us + delay_us
 
     def deadlines(self) -> Iterator[int]:
-        """When `tick` has something to do, in microseconds."""
+        """Yields the times at which `tick` has something to do, in microseconds."""
         yield self.next_probe_us
         if self._probe is not None:
             yield self._probe.due_us
@@ -93,7 +116,7 @@
             yield relay.deadline_us
 
     def tick(self) -> list[SendDatagram]:
-        """Does what is due: indirect probes, the end of a probe, the next one, nacks, suspicions."""
+        """Runs what is due: indirect probes, the end of a probe, the next probe, nacks and suspicions."""
         now_us = self._context.now_us
         actions: list[SendDatagram] = []
         probe = self._probe
@@ -110,24 +133,27 @@
         return actions
 
     def on_stall(self) -> None:
-        """This process stood still: neither an answer to its probe nor the absence of one can be trusted."""
+        """Handles a stall of this process: neither an ack of its probe nor a missing one can be trusted."""
         self._context.adjust_local_health(+1)
         self._probe = None
         self._suspicions.extend_after_stall()
-        grace_us = self._context.now_us + self._context.settings.probe_interval_us
+        min_deadline_us = (
+            self._context.now_us + self._context.settings.probe_interval_us
+        )
         for relay in self._relays.values():
-            relay.deadline_us = max(relay.deadline_us, grace_us)
+            relay.deadline_us = max(relay.deadline_us, min_deadline_us)
 
     def on_ping(
         self, message: Ping, sender: str, source: Address
     ) -> list[SendDatagram]:
-        """Acknowledges a ping, and refutes if it says that this member is suspected."""
+        """Acknowledges a ping, and refutes if the ping reports this member as suspected."""
         local = self._context.local
         if message.target != local.name:
-            self._context.counters.stale += 1  # for another member at this address
+            # The ping is meant for another member at this address.
+            self._context.counters.stale += 1
             return []
         if message.suspected_incarnation >= local.incarnation:
-            reason = "a ping said this member is suspected"
+            reason = "a ping reported this member as suspected"
             self._transitions.refute(local.incarnation, sender, reason)
         subject = unless_alive(self._context.table.members.get(sender))
         ack = Ack(message.sequence, local.name)
@@ -148,7 +174,7 @@
         return [self._dissemination.datagram(address, ping, subject)]
 
     def on_ack(self, message: Ack) -> list[SendDatagram]:
-        """Passes on the ack of a relayed ping, or ends this member's own wait."""
+        """Relays the ack of a ping sent for another member, or records the ack of this member's own probe."""
         relay = self._relays.pop(message.sequence, None)
         if relay is not None:
             return self._relay_ack(relay, message)
@@ -164,7 +190,7 @@
         return []
 
     def on_nack(self, message: Nack, sender: str) -> None:
-        """Notes that a relay is well but had no answer from the target."""
+        """Records that a relay is reachable but got no ack from the target."""
         if self._probe is not None and self._probe.sequence == message.sequence:
             self._probe.nacks.add(sender)
 
@@ -187,11 +213,11 @@
         return [self._dissemination.ping(target, sequence)]
 
     def _request_indirect_probes(self, probe: Probe) -> list[SendDatagram]:
-        """Asks other members to ping the target, and pings it again: one lost datagram is no failure."""
+        """Asks other members to ping the target, and pings it again in case one datagram was lost."""
         probe.is_indirect = True
         table = self._context.table
         target = table.members.get(probe.target)
-        if target is None:  # forgotten since
+        if target is None:  # removed in the meantime
             return []
         count = self._context.settings.indirect_probes
         relays = table.sample_alive(count, exclude=probe.target)
@@ -211,15 +237,16 @@
         if probe.is_acked:
             self._context.adjust_local_health(-1)
             return
-        # Lifeguard counts a failed probe against the prober, and relays that did not even send a nack. Where
-        # one did, this member hears well and is not isolated: half of all members may have died at once.
+        # Lifeguard counts a failed probe against the local health of the prober, and relays that did not even
+        # send a nack as well. If one relay did, this member can receive and is not isolated: half of all
+        # members may really have died at once.
         if not probe.nacks:
             self._context.adjust_local_health(+2 if probe.relay_count else +1)
         target = self._context.table.members.get(probe.target)
         if target is None or not target.is_live:
             return
-        if target.last_heard_us > probe.start_us:
-            reason = "it is heard, but does not answer"
+        if target.last_received_us > probe.start_us:
+            reason = "its datagrams arrive, but it does not answer"
             self._transitions.set_reach(target, "inbound", reason)
             return
         self._transitions.on_failed_probe(target, probe.start_us, probe.nacks)
@@ -239,7 +266,7 @@
             return []
         ack = Ack(relay.origin_sequence, relay.target, relayed=True)
         target = self._context.table.members.get(relay.target)
-        # The update about the target carries its incarnation to the origin.
+        # The update about the target carries the target's incarnation to the origin.
         return [self._dissemination.datagram(relay.origin, ack, target)]
 
     def _acknowledge(self, probe: Probe, message: Ack) -> None:
@@ -248,7 +275,7 @@
         if target is None:
             return
         if message.relayed:
-            reason = "answered only through others"
+            reason = "answered only through other members"
             self._transitions.set_reach(target, "indirect", reason)
         else:
             self._transitions.set_reach(target, "direct", "answered directly again")
@@ -260,13 +287,13 @@
             if suspicion.is_own:
                 actions.extend(self._check_own_suspicion(members[name], suspicion))
             elif self._context.now_us >= min(suspicion.check_us, suspicion.deadline_us):
-                self._probe_by_itself(name, suspicion)
+                self._schedule_own_probe(name, suspicion)
         return actions
 
     def _check_own_suspicion(
         self, member: Member, suspicion: Suspicion
     ) -> list[SendDatagram]:
-        """Declares a suspect dead at the deadline; until then pings it in each period."""
+        """Pings a suspect in each period until its deadline, and then declares it dead."""
         now_us = self._context.now_us
         if now_us >= suspicion.deadline_us:
             self._transitions.on_suspicion_timeout(member)
@@ -276,8 +303,8 @@
             return [self._dissemination.ping(member, suspicion.sequence)]
         return []
 
-    def _probe_by_itself(self, name: str, suspicion: Suspicion) -> None:
-        """Probes next a member that is suspected by gossip alone: no death is declared by hearsay."""
+    def _schedule_own_probe(self, name: str, suspicion: Suspicion) -> None:
+        """Schedules a probe of a member that only gossip suspects: no death is declared on reports alone."""
         self._probe_round.insert_next(name)
         suspicion.check_us = self._context.now_us + self._context.gossip_round_us
         suspicion.deadline_us = max(suspicion.deadline_us, suspicion.check_us)
--- a/loadbalancer/membership/messages.py
+++ b/loadbalancer/membership/messages.py
@@ -1,9 +1,9 @@
 """Datagrams of the membership protocol: bounded, versioned, encoded as MessagePack.
 
 Every datagram is one `MembershipEnvelope`: the protocol version, the name of the cluster, the sender, one
-message, and the member updates that ride on it. `decode` refuses with `MembershipDatagramError` whatever
-is too large, does not decode or holds a value out of range, and with `MembershipForeignError` whatever
-belongs to another cluster or protocol version; the caller counts it and drops it.
+message, and the piggybacked member updates. `decode` raises `MembershipDatagramError` for a datagram that is
+too large, cannot be decoded or has a value out of range, and `MembershipForeignError` for one of another
+cluster or protocol version; the caller counts and drops it.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from loadbalancer.errors import LoadBalancerError
 
 PROTOCOL_VERSION = 1
-# Below the usual path MTU, so that no datagram is fragmented
+# Below the usual path MTU, so that no datagram is fragmented.
 MAX_DATAGRAM_BYTES = 1_400
-MAX_NAME_CHARACTERS = 64  # of a member's name, host, zone or region
-MAX_INCARNATION = 1 << 53  # one more must still be encoded
+MAX_NAME_CHARACTERS = 64  # of the name, host, zone or region of a member
+MAX_INCARNATION = 1 << 53  # one above it must still be encoded
 MAX_PORT = 65_535
-NO_INCARNATION = -1  # in a ping: the target is not suspected
-NO_DIGEST = -1  # in a sync: the sender does not say
+NO_INCARNATION = -1  # in a ping: the sender does not suspect the target
+NO_DIGEST = -1  # in a sync: the sender does not send its digest
 
 
 class MemberState(enum.IntEnum):
-    """What is believed of a member. At the same incarnation the higher state wins."""
+    """State of a member as another one knows it. At the same incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    # Left the cluster on its own: like dead, but announced by the member itself
+    # Like DEAD, but the member itself announced that it leaves the cluster.
     LEFT = 3
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """State of one member as disseminated by gossip; `source` is the member that stated it first."""
+    """State of one member as disseminated by gossip; `source` is the member that reported it first."""
 
     name: str
     host: str
@@ -51,8 +51,8 @@
 class Ping(msgspec.Struct, tag=1, array_like=True, frozen=True):
     """Probe of `target`.
 
-    `suspected_incarnation` is the incarnation at which the sender suspects the target (Lifeguard's buddy
-    system: the target refutes at once), `NO_INCARNATION` if it does not.
+    `suspected_incarnation` is the incarnation at which the sender suspects the target, or `NO_INCARNATION` if
+    it does not. By Lifeguard's buddy system a suspected target refutes at once.
     """
 
     sequence: int
@@ -70,7 +70,7 @@
 
 
 class Ack(msgspec.Struct, tag=3, array_like=True, frozen=True):
-    """Answer of `target` to the ping `sequence`; `relayed` when it comes through a third member."""
+    """Answer of `target` to the ping `sequence`; `relayed` if it arrives through a third member."""
 
     sequence: int
     target: str
@@ -78,7 +78,7 @@
 
 
 class Nack(msgspec.Struct, tag=4, array_like=True, frozen=True):
-    """Answer of a relay that is itself well but had no ack from `target` in time (Lifeguard)."""
+    """Answer of a relay that is itself healthy but got no ack from `target` in time (Lifeguard)."""
 
     sequence: int
     target: str
@@ -87,9 +87,10 @@
 class Sync(msgspec.Struct, tag=5, array_like=True, frozen=True):
     """Anti-entropy exchange: a request for the receiver's member table, or, with `is_reply`, an answer.
 
-    `digest` covers all members that the sender holds live, `NO_DIGEST` where it does not say. A request that
-    carries the receiver's own digest needs no list; the last datagram of an answer carries the answerer's
-    digest. Members of earlier versions neither send nor read it: their request carries the whole list.
+    `digest` covers all members that are live for the sender; it is `NO_DIGEST` if the sender does not send
+    one. A request that carries the receiver's own digest is answered without a table. The last datagram of an
+    answer carries the digest of the member that answers. Members of earlier versions neither send nor read
+    the digest: their request carries the complete table.
     """
 
     is_reply: bool = False
@@ -111,20 +112,20 @@
 
 
 class MembershipDatagramError(LoadBalancerError, ValueError):
-    """A datagram to the membership that is not well formed; counted as `malformed` and dropped."""
+    """A datagram of the membership protocol is not well formed; counted as `malformed` and dropped."""
 
     code: ClassVar[str] = "WireError"
     remedy: ClassVar[str] = (
-        "find who else sends to the membership's port, and give it another"
+        "find out which other program sends to the membership's port, and give it another port"
     )
 
 
 class MembershipForeignError(MembershipDatagramError):
-    """A datagram of another cluster or of another version of the membership; counted as `foreign`."""
+    """A datagram belongs to another cluster or protocol version; counted as `foreign` and dropped."""
 
     code: ClassVar[str] = "WireForeign"
     remedy: ClassVar[str] = (
-        "give all nodes of a fleet one `membership.cluster` and one version of the program"
+        "use the same `membership.cluster` and the same version of the program on all nodes of a fleet"
     )
 
 
@@ -133,7 +134,7 @@
 
 
 def encode(envelope: MembershipEnvelope) -> bytes:
-    """Bytes of one datagram, of whatever size (see `encode_bounded`)."""
+    """Encodes one datagram without a limit on its size (see `encode_bounded`)."""
     return _encoder.encode(envelope)
 
 
@@ -142,13 +143,17 @@
 ) -> tuple[bytes, int]:
     """Encodes `envelope` with as many of the first `updates` as fit in `MAX_DATAGRAM_BYTES`.
 
+    Args:
+        envelope: The envelope; its own updates are replaced.
+        updates: The updates to include, most important first.
+
     Returns:
-        The datagram, and the number of updates in it.
+        The datagram and the number of updates in it.
     """
     count = len(updates)
     data = encode(msgspec.structs.replace(envelope, updates=updates))
     while len(data) > MAX_DATAGRAM_BYTES and count > 0:
-        # Updates are of similar size: cut in proportion first, then one at a time.
+        # Updates have similar sizes: reduce the number in proportion first, then one at a time.
         count = min(count - 1, max(0, count * MAX_DATAGRAM_BYTES // len(data)))
         data = encode(msgspec.structs.replace(envelope, updates=updates[:count]))
     return data, count
@@ -157,13 +162,17 @@
 def decode(data: bytes, cluster: str) -> MembershipEnvelope:
     """Decodes and validates one datagram.
 
+    Args:
+        data: The received bytes.
+        cluster: Name of the receiver's cluster.
+
     Raises:
-        MembershipForeignError: it belongs to another cluster or protocol version.
-        MembershipDatagramError: it is too large, does not decode, or holds a value out of range.
+        MembershipForeignError: The datagram belongs to another cluster or protocol version.
+        MembershipDatagramError: The datagram is too large, cannot be decoded or has a value out of range.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         raise MembershipDatagramError(
-            f"datagram of {len(data)} bytes, more than {MAX_DATAGRAM_BYTES}"
+            f"datagram has {len(data)} bytes, more than the maximum of {MAX_DATAGRAM_BYTES}"
         )
     try:
         envelope = _decoder.decode(data)
@@ -171,10 +180,12 @@
         raise MembershipDatagramError(f"malformed datagram: {error}") from None
     if envelope.version != PROTOCOL_VERSION:
         raise MembershipForeignError(
-            f"version {envelope.version}, this member speaks {PROTOCOL_VERSION}"
+            f"protocol version {envelope.version} is not supported; this member supports {PROTOCOL_VERSION}"
         )
     if envelope.cluster != cluster:
-        raise MembershipForeignError(f"foreign cluster {envelope.cluster!r}")
+        raise MembershipForeignError(
+            f"the datagram belongs to another cluster, {envelope.cluster!r}"
+        )
     _validate(envelope)
     return envelope
 
@@ -182,17 +193,21 @@
 def _validate(envelope: MembershipEnvelope) -> None:
     names = [envelope.sender, *(update.name for update in envelope.updates)]
     if any(not name or len(name) > MAX_NAME_CHARACTERS for name in names):
-        raise MembershipDatagramError("a member's name is empty or too long")
+        raise MembershipDatagramError(
+            "the name of the sender or of a member in an update is empty or too long"
+        )
     for update in envelope.updates:
         if not _in_range(update):
-            raise MembershipDatagramError(f"gossip about {update.name!r} out of range")
+            raise MembershipDatagramError(
+                f"update about member {update.name!r} has a value out of range"
+            )
     if not 0 <= envelope.incarnation <= MAX_INCARNATION:
-        raise MembershipDatagramError("incarnation out of range")
+        raise MembershipDatagramError("the incarnation of the sender is out of range")
     message = envelope.message
     if isinstance(message, PingRequest) and (
         not 0 < message.port <= MAX_PORT or len(message.host) > MAX_NAME_CHARACTERS
     ):
-        raise MembershipDatagramError("a ping for another member names no address")
+        raise MembershipDatagramError("the address in a ping request is out of range")
 
 
 def _in_range(update: MemberUpdate) -> bool:
--- a/loadbalancer/membership/rejoin.py
+++ b/loadbalancer/membership/rejoin.py
@@ -1,4 +1,4 @@
-"""Rejoin after a partition: dead members are probed now and then, and lost addresses asked for a sync."""
+"""Rejoin after a partition: dead members are probed, and lost addresses are asked for a sync."""
 
 from __future__ import annotations
 
@@ -22,7 +22,20 @@
 
 
 class PartitionRecovery:
-    """Looks for members on the other side of a partition, and forgets those that stay dead."""
+    """Searches for members on the other side of a partition, and removes those that stay dead.
+
+    Args:
+        context: State that all modules of this member share.
+        dissemination: Builds the probes.
+        anti_entropy: Builds the sync requests.
+
+    Attributes:
+        seeds: Addresses of the seeds without this member's own.
+        forgotten: Addresses of some of the removed members, with the time in microseconds until which they
+            are tried.
+        next_dead_probe_us: When dead members and lost addresses are tried next.
+        next_forget_us: When members that have stayed dead are removed next.
+    """
 
     def __init__(
         self, context: Context, dissemination: Dissemination, anti_entropy: AntiEntropy
@@ -31,22 +44,22 @@
         self._dissemination = dissemination
         self._anti_entropy = anti_entropy
         self.seeds: list[Address] = []
-        self._seed_names: dict[Address, str] = {}  # last sender from a seed's address
-        # Addresses of some of the forgotten members, and until when they are tried, microseconds.
+        # Name of the last sender by seed address.
+        self._seed_names: dict[Address, str] = {}
         self.forgotten: dict[Address, int] = {}
         self.next_dead_probe_us = 0
         self.next_forget_us = 0
         self._next_rejoin_sync_us = 0
 
     def set_seeds(self, seeds: Sequence[Address]) -> None:
-        """Sets the seeds; this member's own address is left out."""
+        """Sets the seeds; this member's own address is excluded."""
         local = tuple(self._context.local.address)
         self.seeds = [
             (seed[0], seed[1]) for seed in dict.fromkeys(seeds) if tuple(seed) != local
         ]
 
     def tick(self) -> list[SendDatagram]:
-        """Probes the dead, looks for lost addresses and forgets, when these are due."""
+        """Probes dead members, tries lost addresses and removes expired members, each when it is due."""
         now_us = self._context.now_us
         actions: list[SendDatagram] = []
         if now_us >= self.next_dead_probe_us:
@@ -58,17 +71,17 @@
         return actions
 
     def on_sender(self, sender: str, source: Address) -> None:
-        """Notes which member speaks from a seed's address."""
+        """Records which member sends from a seed's address."""
         if source in self.seeds:
             self._seed_names[source] = sender
 
-    def on_heard(
+    def on_datagram(
         self, envelope: MembershipEnvelope, source: Address
     ) -> list[SendDatagram]:
-        """Requests a sync from a dead member that sends datagrams, as after a partition, now and then.
+        """Requests a sync from a member that is marked dead but sends datagrams, as after a partition.
 
-        Each side then tells its own members whom the other holds dead, and these refute: one exchange
-        rejoins both sides.
+        Each side then notifies its own members of those that the other side has marked dead, and these
+        refute: one exchange rejoins both sides. The rate of the requests is limited.
         """
         context = self._context
         member = context.table.members.get(
@@ -80,18 +93,21 @@
             or context.now_us < self._next_rejoin_sync_us
         ):
             return []
-        # A sync brings the table anyway. Otherwise the members of a side share one budget of requests.
+        # A sync carries the table anyway. Otherwise all members of a side share one budget of requests.
         is_sync = isinstance(envelope.message, Sync)
-        if is_sync or not self._draws(REJOIN_SYNCS_PER_ROUND, context.table.live_count):
+        if is_sync or not self._draw_turn(
+            REJOIN_SYNCS_PER_ROUND, context.table.live_count
+        ):
             return []
         pause_us = SYNC_PERIODS * context.settings.probe_interval_us
         self._next_rejoin_sync_us = context.now_us + pause_us
         return [self._anti_entropy.request(source)]
 
-    def may_be_other_side(self, source: str) -> bool:
-        """Whether a death that `source` declared may have been seen from the other side of a partition.
+    def may_be_across_partition(self, source: str) -> bool:
+        """Whether a death that `source` declared may have been observed from the other side of a partition.
 
-        So it is if `source` is suspected or dead here, or was until one gossip round ago.
+        This is the case if `source` is unknown, suspected or dead here, or was suspected or dead less than
+        one gossip round ago.
         """
         context = self._context
         if source == context.local.name:
@@ -103,19 +119,19 @@
             return False
         return context.now_us - member.recovered_us < context.gossip_round_us
 
-    def _draws(self, budget: float, member_count: int) -> bool:
-        """Draws whether it is this member's turn, where so many share a budget of one round."""
+    def _draw_turn(self, budget: float, member_count: int) -> bool:
+        """Draws whether this member acts, where `member_count` members share the budget of one round."""
         return self._context.random.random() * member_count < budget
 
     def _probe_dead_member(self) -> list[SendDatagram]:
-        """Pings one of the dead: if it lives, it refutes, and both sides exchange their tables."""
+        """Pings one dead member: if it is live after all, it refutes, and both sides exchange tables."""
         context, table = self._context, self._context.table
         period_us = context.settings.probe_interval_us
         self.next_dead_probe_us = context.now_us + DEAD_PROBE_PERIODS * period_us
         if len(table.members) == table.live_count:
             return []
         dead = [m for m in table.members.values() if m.state == MemberState.DEAD]
-        # A machine that comes back would be flooded if all members pinged its processes each time.
+        # A machine that rejoins would be flooded if all members pinged its processes each time.
         share = DEAD_PROBES_PER_ROUND * len(dead) / (table.live_count + 1)
         probability = max(share, MIN_DEAD_PROBES_PER_MEMBER)
         if not dead or context.random.random() >= probability:
@@ -124,10 +140,10 @@
         return [self._dissemination.ping(target, context.next_sequence())]
 
     def _request_from_lost_address(self) -> list[SendDatagram]:
-        """Requests a sync from a seed that is not live, or from the address of a forgotten member.
+        """Requests a sync from a seed that is not live, or from the address of a removed member.
 
-        This rejoins sides of a partition that has outlasted the memory of the dead. The members of a side
-        send one request in each `REJOIN_INTERVAL_US` together.
+        This rejoins the sides of a partition that has lasted longer than dead members are remembered. All
+        members of a side together send one request per `REJOIN_INTERVAL_US`.
         """
         if not (self.seeds or self.forgotten):
             return []
@@ -144,7 +160,10 @@
         return [self._anti_entropy.request(address)]
 
     def _lost_seeds(self) -> list[Address]:
-        """Seeds at whose address no member is live; live addresses are no longer sought as forgotten."""
+        """Returns the seeds at whose address no member is live.
+
+        It also drops the addresses in `forgotten` that have expired or are live again.
+        """
         context, table = self._context, self._context.table
         self.forgotten = {
             address: until_us
@@ -162,29 +181,29 @@
         ]
 
     def _forget_dead_members(self) -> None:
-        """Removes members that have been dead or gone for long, and keeps some of their addresses."""
+        """Removes members whose retention time is over, and keeps some addresses of the dead ones."""
         context = self._context
         oldest_us = context.now_us - context.settings.dead_retention_us
-        gone = [
+        expired = [
             member
             for member in context.table.members.values()
             if not member.is_live and member.state_since_us < oldest_us
         ]
-        if not gone:
+        if not expired:
             return
-        self._keep_addresses(gone)
-        names = [member.name for member in gone]
+        self._keep_addresses(expired)
+        names = [member.name for member in expired]
         context.table.remove(names)
         for name in names:
             self._dissemination.discard(name)
 
-    def _keep_addresses(self, gone: list[Member]) -> None:
-        dead = [m.address for m in gone if m.state == MemberState.DEAD]
+    def _keep_addresses(self, expired: list[Member]) -> None:
+        dead = [m.address for m in expired if m.state == MemberState.DEAD]
         if not dead:
             return
         until_us = self._context.now_us + FORGOTTEN_ADDRESS_RETENTION_US
         self.forgotten |= dict.fromkeys(dead, until_us)
-        # A random sample, whoever died first: members keep different ones.
+        # A random sample regardless of the time of death, so that members keep different addresses.
         count = min(MAX_FORGOTTEN_ADDRESSES, len(self.forgotten))
         sample = self._context.random.sample(sorted(self.forgotten), count)
         self.forgotten = {address: self.forgotten[address] for address in sample}
--- a/loadbalancer/membership/settings.py
+++ b/loadbalancer/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the membership protocol, and its fixed constants."""
+"""Settings of the membership protocol and its fixed constants."""
 
 from __future__ import annotations
 
@@ -6,56 +6,61 @@
 
 from loadbalancer.membership.messages import MAX_DATAGRAM_BYTES
 
-# The cluster of a node that names none: old and new nodes must agree on it, so it never changes.
+# The cluster of a node whose settings name none. Nodes of all versions must agree on it: never change it.
 DEFAULT_CLUSTER = "brackenladder"
 
-MAX_UPDATES_PER_DATAGRAM = MAX_DATAGRAM_BYTES // 16  # none encodes in fewer bytes
+# No update encodes in fewer than 16 bytes.
+MAX_UPDATES_PER_DATAGRAM = MAX_DATAGRAM_BYTES // 16
 
-SYNC_PERIODS = 5  # probe periods until the next sync after a join, when alone, or with a dead sender
+# Probe periods until the next sync after a join, while no member is alive, or with a dead sender.
+SYNC_PERIODS = 5
 DEAD_PROBE_PERIODS = 5  # probe periods between two probes of dead members
-FORGET_INTERVAL_US = 10_000_000  # between two searches for dead members to be forgotten
-GOSSIP_DELAY_PER_MEMBER_US = 5_000  # until gossip should have brought what is new
+FORGET_INTERVAL_US = 10_000_000  # between two removals of members that have stayed dead
+# Added to the time in which gossip should have delivered an update, for each live member.
+GOSSIP_DELAY_PER_MEMBER_US = 5_000
 
-# Budgets of one side of a partition as a whole: each member draws whether it is its turn.
+# Budgets that all members of one side of a partition share: each member draws whether it acts.
 REJOIN_INTERVAL_US = 1_000_000  # between two sync requests to lost seeds and addresses
-DEAD_PROBES_PER_ROUND = 8  # probes of each dead member
-# At least so many by each member: it may be the only one that holds somebody dead.
+DEAD_PROBES_PER_ROUND = 8  # probes of each dead member in each round
+# Minimum probes by each member in a round: it may be the only one that considers some member dead.
 MIN_DEAD_PROBES_PER_MEMBER = 0.125
-REJOIN_SYNCS_PER_ROUND = 64  # sync requests to dead members that send datagrams
+REJOIN_SYNCS_PER_ROUND = 64  # sync requests to members marked dead that send datagrams
 
-# How many datagrams of member lists one member answers with: a burst, then one at each cost interval.
+# Budget of the datagrams with member tables that one member sends: a burst, then one per cost interval.
 SYNC_BURST_DATAGRAMS = 64
 SYNC_DATAGRAM_COST_US = 62_500
-# In which all datagrams of a reply arrive, in whatever order
+# Time in which all datagrams of a reply should arrive, in any order.
 SYNC_REPLY_WINDOW_US = 20_000
 
-MAX_FORGOTTEN_ADDRESSES = 16  # of dead members, kept for the search after a partition
+# Addresses of removed members are kept to rejoin after a partition: at most 16, for 4 hours.
+MAX_FORGOTTEN_ADDRESSES = 16
 FORGOTTEN_ADDRESS_RETENTION_US = 4 * 3_600_000_000
 
 
 @dataclass(frozen=True)
 class SwimSettings:
-    """Settings of one cluster; the defaults are those of docs/membership.md, with their measured figures.
+    """Settings of one cluster; docs/membership.md explains the defaults, with their measured figures.
 
     Attributes:
-        cluster: name that all members share; datagrams of others are dropped.
-        probe_interval_us: period of the failure detector, one probe in each.
-        probe_timeout_us: time for a direct answer, after which indirect probes are requested.
-        indirect_probes: members that are asked for an indirect probe, and the number of confirmations that
-            shortens a suspicion to its minimum.
-        pause_tolerance_us: shortest suspicion, so that a process paused for less is not declared dead.
-        min_suspicion_periods: shortest suspicion in probe periods, times log10(members).
-        max_suspicion_ratio: an unconfirmed suspicion lasts so many times its minimum.
-        retransmit_ratio: an update rides on so many datagrams, times log10(members + 1).
-        max_local_health: local health at which periods and timeouts are stretched most (Lifeguard).
-        sync_interval_us: between two table exchanges of one member, while tables agree.
-        sync_members: in clusters above this size the interval grows in proportion, so that the bytes that
-            one member sends do not.
-        dead_retention_us: time for which a dead member is remembered, so that a healed partition rejoins.
-        max_members: reports about further, unknown members are dropped.
+        cluster: Name that all members share; datagrams of other clusters are dropped.
+        probe_interval_us: Period of the failure detector, which sends one probe in each period.
+        probe_timeout_us: Time for a direct answer, after which indirect probes are requested.
+        indirect_probes: Number of members that are asked for an indirect probe, and the number of
+            confirmations that shortens a suspicion to its minimum.
+        pause_tolerance_us: Minimum time of a suspicion, so that a process paused for less is not declared
+            dead.
+        min_suspicion_periods: Minimum time of a suspicion in probe periods, times log10(members).
+        max_suspicion_ratio: Time of an unconfirmed suspicion as a multiple of the minimum.
+        retransmit_ratio: Number of datagrams that carry an update, times log10(members + 1).
+        max_local_health: Local health at which periods and timeouts are stretched most (Lifeguard).
+        sync_interval_us: Time between two table exchanges of one member while tables agree.
+        sync_members: In clusters above this size the interval grows in proportion to the size, so that the
+            bytes that one member sends do not.
+        dead_retention_us: Time for which a dead member is remembered, so that a healed partition rejoins.
+        max_members: Maximum number of known members; reports about further, unknown members are dropped.
 
     Raises:
-        ValueError: a value that the protocol cannot run with.
+        ValueError: A value is out of the range in which the protocol works.
     """
 
     cluster: str = DEFAULT_CLUSTER
@@ -75,7 +80,7 @@
     def __post_init__(self) -> None:
         if not 0 < self.probe_timeout_us < self.probe_interval_us:
             raise ValueError(
-                "membership: probe_timeout must be positive and below probe_interval"
+                "membership: probe_timeout_us must be positive and below probe_interval_us"
             )
         if (
             self.indirect_probes < 0
@@ -83,7 +88,10 @@
             or self.max_local_health < 0
         ):
             raise ValueError(
-                "membership: indirect, retransmit and most_health must not be negative"
+                "membership: indirect_probes and max_local_health must not be negative,"
+                " and retransmit_ratio must be at least 1"
             )
         if not 0 < self.min_suspicion_periods <= self.max_suspicion_ratio:
-            raise ValueError("membership: need 0 < suspicion_min <= suspicion_max")
+            raise ValueError(
+                "membership: min_suspicion_periods must be positive and at most max_suspicion_ratio"
+            )
--- a/loadbalancer/membership/state.py
+++ b/loadbalancer/membership/state.py
@@ -1,4 +1,7 @@
-"""State of one member's view: the member table, the shared context, and the actions for the host."""
+"""State of one member's view: the member table, the shared context, and the actions for the host.
+
+Times are microseconds of the host's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -13,20 +16,27 @@
 
 Address = tuple[str, int]
 
-DIGEST_MODULUS = 1 << 32
-DRAWS_PER_SAMPLE = 4  # random draws for each member wanted, before all are looked at
+DIGEST_MODULUS = 1 << 32  # a digest has 32 bits
+DRAWS_PER_SAMPLE = 4  # random draws per requested member before all members are scanned
 
 
 @dataclass
 class Member:
-    """What is known of one member.
+    """What this node knows about one member.
 
     Attributes:
-        state_since_us: when the state last changed.
-        reach: "direct"; "indirect", if it answers only through other members; "inbound", if its own
-            datagrams arrive and it cannot be reached.
-        last_heard_us: when a datagram of its own last arrived.
-        recovered_us: when it last became alive after it was suspected or dead.
+        name: Unique name of the member.
+        host: Host of its address for datagrams.
+        port: Port of that address.
+        incarnation: Highest known incarnation; only the member itself raises it.
+        state: Whether it is alive, suspected, dead or has left.
+        state_since_us: When the state last changed.
+        zone: Its zone; empty if not known.
+        region: Its region; empty if not known.
+        reach: "direct"; "indirect" if it answers only through other members; "inbound" if its own datagrams
+            arrive but it cannot be reached.
+        last_received_us: When one of its own datagrams last arrived.
+        recovered_us: When it last became alive after it was suspected or dead; 0 if never.
     """
 
     name: str
@@ -38,12 +48,12 @@
     zone: str = ""
     region: str = ""
     reach: str = "direct"
-    last_heard_us: int = 0
+    last_received_us: int = 0
     recovered_us: int = 0
 
     @property
     def address(self) -> Address:
-        """Where it receives datagrams."""
+        """The address at which it receives datagrams."""
         return (self.host, self.port)
 
     @property
@@ -52,7 +62,7 @@
         return self.state <= MemberState.SUSPECT
 
     def update(self, source: str) -> MemberUpdate:
-        """The gossip about it, as stated by `source`."""
+        """Returns the update about this member for dissemination, as reported by `source`."""
         return MemberUpdate(
             self.name,
             self.host,
@@ -67,7 +77,12 @@
 
 @dataclass(frozen=True)
 class SendDatagram:
-    """Action for the host: send one datagram."""
+    """Action for the host: send one datagram.
+
+    Attributes:
+        address: The receiver.
+        data: The encoded datagram.
+    """
 
     address: Address
     data: bytes
@@ -75,9 +90,16 @@
 
 @dataclass(frozen=True)
 class MemberChange:
-    """Notification for the host: the state, or the reach, of a member changed; one log line each.
+    """Notification for the host, which logs one line for it: the state or the reach of a member changed.
 
-    `source` is the member that stated it, `reason` the rule that applied.
+    Attributes:
+        time_us: When it changed.
+        name: Name of the member.
+        old: The state or reach before.
+        new: The state or reach after.
+        incarnation: The member's incarnation.
+        source: Name of the member that reported the change.
+        reason: The rule that applied, as a text for operators.
     """
 
     time_us: int
@@ -91,7 +113,18 @@
 
 @dataclass
 class Counters:
-    """Datagrams sent, received, and dropped by reason; the host shows them under these names."""
+    """Totals since the start of the process; the host publishes them under these names.
+
+    Attributes:
+        malformed: Datagrams dropped because they are not well formed.
+        foreign: Datagrams dropped because they belong to another cluster or protocol version.
+        stale: Messages and updates ignored because they are outdated or not meant for this member.
+        sent: Datagrams sent.
+        sent_bytes: Bytes of these datagrams.
+        received: Well-formed datagrams received.
+        refuted: Times that this member refuted a report about itself.
+        conflicts: Reports that another process uses this member's name at another address.
+    """
 
     malformed: int = 0
     foreign: int = 0
@@ -100,19 +133,29 @@
     sent_bytes: int = 0
     received: int = 0
     refuted: int = 0
-    conflicts: int = 0  # another process uses this member's name at another address
+    conflicts: int = 0
 
 
 class MemberTable:
-    """All known members but the local one, with the counts and the digest that are kept by increments."""
+    """All known members except the local one, with an incrementally updated count and digest.
+
+    Args:
+        local: The local member.
+        rng: Source of randomness for samples.
 
-    def __init__(self, local: Member, draws: random.Random) -> None:
+    Attributes:
+        members: The known members by name.
+        names: Names from which samples are drawn; may include members that have been removed.
+        live_count: Number of live members, without the local one.
+    """
+
+    def __init__(self, local: Member, rng: random.Random) -> None:
         self.local = local
         self.members: MutableMapping[str, Member] = {}
-        self.names: list[str] = []  # to draw from; may name members removed since
+        self.names: list[str] = []
         self.live_count = 0
-        self._random = draws
-        self._digest: int | None = None  # computed at its first use
+        self._random = rng
+        self._digest: int | None = None  # computed on first use
 
     def replace_all(
         self,
@@ -121,17 +164,24 @@
         live_count: int,
         digest: int | None = None,
     ) -> None:
-        """Puts a whole view in place of the present one, before the first datagram."""
+        """Replaces the complete view; to be used before the first datagram.
+
+        Args:
+            members: The known members by name, without the local one.
+            names: Names from which samples are drawn.
+            live_count: Number of live members among them.
+            digest: Digest of the live members and the local one; None to compute it on first use.
+        """
         self.members, self.names, self.live_count = members, names, live_count
         self._digest = digest
 
     def is_live(self, name: str) -> bool:
-        """Whether the name is the local member's, or that of one that is alive or merely suspected."""
+        """Whether a name is that of the local member or of a member that is alive or merely suspected."""
         member = self.members.get(name)
         return name == self.local.name or (member is not None and member.is_live)
 
     def sorted_members(self) -> list[Member]:
-        """All known members but the local one, by name."""
+        """Returns all known members except the local one, sorted by name."""
         return [self.members[name] for name in sorted(self.members)]
 
     @property
@@ -150,16 +200,16 @@
         self._add_to_digest(member, +1)
 
     def relocate(self, member: Member, update: MemberUpdate) -> None:
-        """Takes over the address, zone and region of an update."""
+        """Changes the address, zone and region of a member to those of an update."""
         sign = int(member.is_live)
         self._add_to_digest(member, -sign)
         member.host, member.port = update.host, update.port
         member.zone, member.region = update.zone, update.region
         self._add_to_digest(member, +sign)
 
-    def count_transition(self, member: Member, old: MemberState) -> None:
-        """Adjusts count and digest after the member's state changed from `old`."""
-        step = member.is_live - (old <= MemberState.SUSPECT)
+    def count_transition(self, member: Member, old_state: MemberState) -> None:
+        """Adjusts the live count and the digest after a member's state changed from `old_state`."""
+        step = member.is_live - (old_state <= MemberState.SUSPECT)
         self.live_count += step
         self._add_to_digest(member, step)
 
@@ -170,7 +220,7 @@
         self.names = list(self.members)
 
     def sample_alive(self, count: int, exclude: str = "") -> list[Member]:
-        """Draws up to `count` members that are held alive; a full scan only where few draws hit one."""
+        """Draws up to `count` random members that are alive; scans all only if too few draws find one."""
         found: dict[str, Member] = {}
         for _ in range(DRAWS_PER_SAMPLE * count if self.names else 0):
             member = self.members.get(self._random.choice(self.names))
@@ -195,37 +245,48 @@
 
 
 class Context:
-    """What all parts of one member's state machine share. Times are microseconds of the host's clock."""
+    """State that all modules of one member's state machine share.
+
+    Args:
+        local: The local member.
+        settings: The cluster's settings.
+        seed: Seed of the random number generator.
+
+    Attributes:
+        now_us: The current time.
+        local_health: Lifeguard's local health multiplier; 0 is healthy.
+        changes: Changes of members that the host has not taken yet.
+    """
 
     def __init__(self, local: Member, settings: SwimSettings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.table = MemberTable(local, self.random)
         self.now_us = 0
-        self.local_health = 0  # Lifeguard's local health multiplier: 0 is well
+        self.local_health = 0
         self.counters = Counters()
         self.changes: list[MemberChange] = []
         self._last_sequence = 0
 
     @property
     def local(self) -> Member:
-        """This member as it describes itself."""
+        """The local member."""
         return self.table.local
 
     def next_sequence(self) -> int:
-        """A sequence number for a ping of this member."""
+        """Returns a new sequence number for a ping of this member."""
         self._last_sequence += 1
         return self._last_sequence
 
     def adjust_local_health(self, step: int) -> None:
-        """Raises (worse) or lowers the local health multiplier within its bounds."""
+        """Raises (degraded) or lowers (healthier) the local health multiplier within its bounds."""
         health = min(self.settings.max_local_health, self.local_health + step)
         self.local_health = max(0, health)
 
     def record_change(
         self, member: Member, old: str, new: str, source: str, reason: str
     ) -> None:
-        """Notes a change of a member, at its present incarnation, for the host."""
+        """Adds a change of a member, at its current incarnation, to the changes for the host."""
         change = MemberChange(
             self.now_us, member.name, old, new, member.incarnation, source, reason
         )
@@ -233,17 +294,22 @@
 
     @property
     def gossip_round_us(self) -> int:
-        """Time after which an update has reached all members."""
+        """Time in which an update should reach all members, in microseconds."""
         rounds = 2 * math.ceil(math.log2(self.table.live_count + 2))
         return self.settings.probe_interval_us * (SYNC_PERIODS + rounds)
 
 
 def fingerprint(member: Member) -> int:
-    """32 bits of a member's name and place; not of its incarnation, which all its datagrams carry."""
-    place = f"{member.name} {member.host} {member.port} {member.zone} {member.region}"
-    return zlib.crc32(place.encode())
+    """Hashes a member's name, address, zone and region to 32 bits.
+
+    The incarnation is not included, since all datagrams of the member carry it.
+    """
+    identity = (
+        f"{member.name} {member.host} {member.port} {member.zone} {member.region}"
+    )
+    return zlib.crc32(identity.encode())
 
 
 def unless_alive(member: Member | None) -> Member | None:
-    """The member if it is known and not held alive: it should hear so itself, to refute."""
+    """Returns the member if it is known and not alive: it must get its own update so that it can refute."""
     return member if member is not None and member.state != MemberState.ALIVE else None
--- a/loadbalancer/membership/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -1,28 +1,30 @@
 """SWIM membership with Lifeguard, as a pure state machine: datagrams and times in, datagrams out.
 
 The protocol is SWIM (Das, Gupta, Motivala, 2002). In each period a member pings the next member of a shuffled
-round; without an answer within the probe timeout it requests indirect probes from others; without any answer
-by the end of the period the target is suspected; a suspicion that is not refuted in time becomes a death. A
-member refutes with a higher incarnation. Updates ride on the datagrams, each a bounded number of times.
-Lifeguard (Dadgar, Phillips, Currey, 2018) adds:
+round. Without an answer within the probe timeout it requests indirect probes from other members. Without any
+answer by the end of the period the target is suspected, and a suspicion that is not refuted in time becomes a
+death. A member refutes with a higher incarnation. Updates are piggybacked on the datagrams, each a bounded
+number of times. Lifeguard (Dadgar, Phillips, Currey, 2018) adds:
 
 * local health: a member that misses answers, or has to refute, lengthens its own periods and timeouts, so
   that a slow member does not accuse others;
 * suspicion timeouts that start long and shrink as independent members confirm the suspicion;
-* the buddy system: a ping to a suspected member says so, and it refutes at once.
-
-Two rules are this project's own, so that a pause or loss seldom becomes a death. A relay that got no answer
-sends a nack and counts as a confirmation, since it has probed by itself. And no member declares a death by
-hearsay: one whose own probe failed pings the suspect again in each period, while one that knows the suspicion
-by gossip alone waits for one gossip round and then probes the suspect itself.
-
-A cut in one direction leaves both members alive, since indirect probes pass; the member that reaches another
-only through others reports it with `reach == "indirect"`. A member that cannot be reached in any way, but
-whose datagrams arrive, is alive with `reach == "inbound"`: it is this member that is not heard.
-
-No I/O, clock or unseeded randomness: the host passes monotonic times in microseconds (a clock that goes back
-counts as standing still) and datagrams with their source, and calls `tick` at `next_deadline()`. Every call
-returns the datagrams to send; `take_changes` returns what happened to members.
+* the buddy system: a ping to a suspected member carries the suspicion, and the member refutes at once.
+
+Two rules are not part of these protocols; they make it unlikely that a pause or loss becomes a death. First,
+a relay that got no answer sends a nack, which counts as a confirmation, since the relay has probed the target
+itself. Second, no member declares a death on reports alone: a member whose own probe failed pings the suspect
+again in each period, while one that knows the suspicion only by gossip waits for one gossip round and then
+probes the suspect itself.
+
+If datagrams are lost in one direction only, both members stay alive, since indirect probes pass. The member
+that reaches another only through other members reports it with `reach == "indirect"`. A member that cannot be
+reached in any way, but whose datagrams arrive, is alive with `reach == "inbound"`: then it is this member's
+datagrams that are lost.
+
+The module contains no I/O, clock or unseeded randomness. The host passes monotonic times in microseconds (a
+clock that goes backwards counts as standing still) and datagrams with their source, and calls `tick` at
+`next_deadline()`. Every call returns the datagrams to send; `take_changes` returns the changes of members.
 """
 
 from __future__ import annotations
@@ -63,7 +65,16 @@
 
 
 class Swim:
-    """One member's part in the protocol; see the module's text. Times are microseconds."""
+    """The state machine of one member; the docstring of the module describes it. Times are microseconds.
+
+    Args:
+        local: The local member, with its name, address, zone and region.
+        settings: The cluster's settings.
+        seed: Seed of the random number generator.
+
+    Attributes:
+        has_left: Whether the member has left the cluster; it then does nothing more.
+    """
 
     def __init__(self, local: Member, settings: SwimSettings, seed: int) -> None:
         self.context = Context(local, settings, seed)
@@ -89,7 +100,8 @@
             self.context, self.dissemination, self.anti_entropy
         )
         self.has_left = False
-        self._expected_us = 0  # the deadline that the host was last told; 0: none
+        # The deadline last returned to the host; 0 for none.
+        self._announced_deadline_us = 0
 
     @property
     def settings(self) -> SwimSettings:
@@ -98,33 +110,41 @@
 
     @property
     def local(self) -> Member:
-        """This member as it describes itself."""
+        """The local member."""
         return self.context.local
 
     @property
     def table(self) -> MemberTable:
-        """All that is known of the others."""
+        """The table of the other members."""
         return self.context.table
 
     @property
     def members(self) -> MutableMapping[str, Member]:
-        """The known members but this one, by name."""
+        """The known members except the local one, by name."""
         return self.context.table.members
 
     @property
     def counters(self) -> Counters:
-        """Datagrams sent, received and dropped."""
+        """Totals of datagrams sent, received and dropped."""
         return self.context.counters
 
     @property
     def digest(self) -> int:
-        """Digest of all live members, this one included."""
+        """Digest of all live members, including the local one."""
         return self.context.table.digest
 
     # Events.
 
     def join(self, now_us: int, seeds: Sequence[Address]) -> list[SendDatagram]:
-        """Starts, and requests the member table from each seed but this member's own address."""
+        """Starts the protocol and requests the member table from each seed.
+
+        Args:
+            now_us: The current time.
+            seeds: Addresses of known members; this member's own address is ignored.
+
+        Returns:
+            The datagrams to send.
+        """
         self._advance(now_us)
         self.recovery.set_seeds(seeds)
         self.detector.start()
@@ -132,7 +152,7 @@
         return [self.anti_entropy.request(seed) for seed in self.recovery.seeds]
 
     def leave(self, now_us: int) -> list[SendDatagram]:
-        """Announces that this member leaves, on pings to a few others; it does nothing more after it."""
+        """Announces with pings to a few members that this member leaves; it does nothing more afterwards."""
         self._advance(now_us)
         local = self.context.local
         local.incarnation += 1
@@ -147,7 +167,7 @@
         return actions
 
     def tick(self, now_us: int) -> list[SendDatagram]:
-        """Does what is due: probes, suspicions, syncs, the search for lost members."""
+        """Runs what is due: probes, suspicions, syncs and the search for lost members."""
         self._advance(now_us)
         if self.has_left:
             return []
@@ -157,7 +177,7 @@
         return actions
 
     def receive(self, now_us: int, data: bytes, source: Address) -> list[SendDatagram]:
-        """Handles one datagram; what is malformed, foreign or stale is counted and dropped."""
+        """Handles one datagram; malformed, foreign and stale ones are counted and dropped."""
         self._advance(now_us)
         if self.has_left:
             return []
@@ -167,49 +187,52 @@
         self.counters.received += 1
         self.recovery.on_sender(envelope.sender, source)
         if envelope.sender == self.local.name:
-            # An echo, or another process with this member's name.
+            # An echo of its own datagram, or another process with this member's name.
             self.counters.stale += 1
             return []
-        self.transitions.on_heard(envelope, source)
+        self.transitions.on_datagram(envelope, source)
         self._apply_updates(envelope)
         actions = self._dispatch(envelope, source)
-        actions.extend(self.recovery.on_heard(envelope, source))
+        actions.extend(self.recovery.on_datagram(envelope, source))
         return actions
 
     # Queries.
 
     def next_deadline(self) -> int:
-        """When `tick` is to be called next, in microseconds; not before the present time."""
+        """Returns when `tick` is to be called next, in microseconds; never a time in the past."""
         deadline_us = min(
             self.anti_entropy.next_sync_us,
             self.recovery.next_dead_probe_us,
             *self.detector.deadlines(),
         )
-        # A confirmation may end a suspicion at a time that has passed: this is no stall of the host.
-        self._expected_us = max(self.context.now_us, deadline_us)
-        return self._expected_us
+        # A confirmation may set the deadline of a suspicion in the past: this is not a stall of the host.
+        self._announced_deadline_us = max(self.context.now_us, deadline_us)
+        return self._announced_deadline_us
 
     def take_changes(self) -> list[MemberChange]:
-        """The changes since the last call, oldest first."""
+        """Returns the changes of members since the last call, oldest first."""
         changes, self.context.changes = self.context.changes, []
         return changes
 
     def sorted_members(self) -> list[Member]:
-        """All known members but this one, by name."""
+        """Returns all known members except the local one, sorted by name."""
         return self.table.sorted_members()
 
     def live_members(self) -> list[Member]:
-        """This member, and all that are alive or merely suspected, by name."""
-        return [self.local, *(m for m in self.sorted_members() if m.is_live)]
+        """Returns the local member first, then all that are alive or merely suspected, sorted by name."""
+        return [
+            self.local,
+            *(member for member in self.sorted_members() if member.is_live),
+        ]
 
     def _advance(self, now_us: int) -> None:
-        """Moves the time on; a host that woke far too late stood still, and may have datagrams to read."""
+        """Advances the time; a host that wakes far too late has stalled and may have unread datagrams."""
         context = self.context
         context.now_us = max(context.now_us, now_us)
-        late_us = context.now_us - self._expected_us
-        if self._expected_us and late_us > context.settings.probe_interval_us:
+        late_us = context.now_us - self._announced_deadline_us
+        if self._announced_deadline_us and late_us > context.settings.probe_interval_us:
             self.detector.on_stall()
-        self._expected_us = 0
+        self._announced_deadline_us = 0
 
     def _decode(self, data: bytes) -> MembershipEnvelope | None:
         try:
@@ -221,15 +244,15 @@
         return None
 
     def _apply_updates(self, envelope: MembershipEnvelope) -> None:
-        """Applies the updates in their order.
+        """Applies the updates of a datagram in their order.
 
-        A death that may have been seen from the other side of a partition counts as a suspicion here, so
-        that the member is probed first; that of an unknown member is dropped.
+        A death that may have been observed from the other side of a partition counts as a suspicion here, so
+        that the member is probed first. Such a death of an unknown member is ignored.
         """
         is_sync = isinstance(envelope.message, Sync)
         for update in envelope.updates:
             if update.state != MemberState.DEAD or not (
-                is_sync or self.recovery.may_be_other_side(update.source)
+                is_sync or self.recovery.may_be_across_partition(update.source)
             ):
                 self.transitions.on_update(update)
             elif update.name in self.members or update.name == self.local.name:
--- a/loadbalancer/membership/transitions.py
+++ b/loadbalancer/membership/transitions.py
@@ -1,7 +1,7 @@
-"""Transitions of members' states: which report about a member overrides what is known of it.
+"""Transitions of members' states: which report about a member overrides what is known about it.
 
-SWIM's order: a higher incarnation wins; at the same incarnation left and dead win over suspect, suspect over
-alive. Only the member itself raises its incarnation, to refute a report of its death.
+The order is that of SWIM. A higher incarnation wins. At the same incarnation left and dead win over suspect,
+and suspect wins over alive. Only the member itself raises its incarnation, to refute a report of its death.
 """
 
 from __future__ import annotations
@@ -21,7 +21,15 @@
 
 
 class Transitions:
-    """Every change of a member's state, with what follows from it in the other parts."""
+    """Changes the states of members and updates the other modules accordingly.
+
+    Args:
+        context: State that all modules of this member share.
+        dissemination: Disseminates the changes.
+        probe_round: Probes members that have joined or recovered.
+        suspicions: The suspicions to start, confirm and end.
+        anti_entropy: Schedules a sync after members have joined or recovered.
+    """
 
     def __init__(
         self,
@@ -39,15 +47,15 @@
 
     # Events.
 
-    def on_heard(self, envelope: MembershipEnvelope, source: Address) -> None:
-        """A datagram arrived: an unknown sender becomes known, alive, at its own address."""
+    def on_datagram(self, envelope: MembershipEnvelope, source: Address) -> None:
+        """Handles the sender of a datagram: an unknown one is added as alive at its source address."""
         now_us, members = self._context.now_us, self._context.table.members
         known = members.get(envelope.sender)
         if known is None:
             if len(members) < self._context.settings.max_members:
-                self._add(_introduction(envelope, source))
+                self._add(_update_from_sender(envelope, source))
             return
-        known.last_heard_us = now_us
+        known.last_received_us = now_us
         is_newer = envelope.incarnation > known.incarnation
         if is_newer and known.state != MemberState.LEFT:
             # Each datagram carries its sender's incarnation: a refutation that gossip lost still arrives.
@@ -59,7 +67,7 @@
             self.on_update(refutation)
 
     def on_update(self, update: MemberUpdate) -> None:
-        """A member update arrived by gossip or in a sync."""
+        """Handles a member update that arrived by gossip or in a sync."""
         if update.name == self._context.local.name:
             self._on_update_about_local(update)
             return
@@ -79,7 +87,13 @@
     def on_failed_probe(
         self, member: Member, probe_start_us: int, nacks: set[str]
     ) -> None:
-        """This member's own probe failed; the relays that answered with a nack confirm it."""
+        """Handles a failed probe of this member; relays that sent a nack confirm the suspicion.
+
+        Args:
+            member: The target of the probe.
+            probe_start_us: When the probe started.
+            nacks: Names of the relays that sent a nack.
+        """
         reason = "no answer to a ping, direct or indirect"
         source = self._context.local.name
         suspicion = self._suspicions.by_name.get(member.name)
@@ -88,31 +102,34 @@
                 member, MemberState.SUSPECT, member.incarnation, source, reason
             )
             suspicion = self._suspicions.start(member.name)
-        before = len(suspicion.confirmers)
+        old_count = len(suspicion.confirmers)
         suspicion.confirmers.add(source)
-        suspicion.confirmers |= nacks  # each has probed by itself, in vain
+        # Each relay that sent a nack has probed the target itself, without an answer.
+        suspicion.confirmers |= nacks
         if not suspicion.is_own:
             settings, now_us = self._context.settings, self._context.now_us
             suspicion.is_own = True
             start_us = max(probe_start_us, now_us - settings.probe_interval_us)
             suspicion.start_us = min(suspicion.start_us, start_us)
             suspicion.next_ping_us = now_us
-            # By others' confirmations the deadline may have passed: one more ping, for this probe may have
-            # begun while the network was cut.
+            # Confirmations of other members may put the deadline in the past. One more ping is sent first,
+            # because this probe may have started while the network was partitioned.
             suspicion.not_before_us = max(
                 suspicion.not_before_us, now_us + settings.probe_timeout_us
             )
         self._suspicions.set_deadline(suspicion)
-        if len(suspicion.confirmers) > before:
+        if len(suspicion.confirmers) > old_count:
             self._dissemination.enqueue(member.update(source))
 
     def on_suspicion_timeout(self, member: Member) -> None:
-        """A suspicion was not refuted in time."""
+        """Handles a suspicion that was not refuted in time."""
         suspicion = self._suspicions.by_name[member.name]
-        if member.last_heard_us > suspicion.start_us:
-            # It lives and cannot hear that it is suspected: not dead, but out of this member's reach.
+        if member.last_received_us > suspicion.start_us:
+            # It is live but cannot receive the suspicion: it is not dead, but this member cannot reach it.
             self._suspicions.restart(suspicion)
-            self.set_reach(member, "inbound", "it is heard, but does not answer")
+            self.set_reach(
+                member, "inbound", "its datagrams arrive, but it does not answer"
+            )
             return
         source = self._context.local.name
         self.set_state(
@@ -125,11 +142,18 @@
         self._dissemination.enqueue(member.update(source))
 
     def refute(self, incarnation: int, source: str, reason: str) -> None:
-        """Raises this member's incarnation above that at which it was reported suspected or dead."""
+        """Raises this member's incarnation above the one at which it was reported suspected or dead.
+
+        Args:
+            incarnation: The reported incarnation.
+            source: Name of the member that reported it.
+            reason: The report, as a text for operators.
+        """
         local = self._context.local
         local.incarnation = max(local.incarnation, incarnation) + 1
         self._context.counters.refuted += 1
-        # Being suspected means that others do not hear this member well: slow down (Lifeguard).
+        # Being suspected means that this member's datagrams do not reach others in time, so it slows down
+        # (Lifeguard).
         self._context.adjust_local_health(+1)
         self._context.record_change(
             local, "suspected", "alive", source, f"refuted: {reason}"
@@ -139,7 +163,7 @@
     # Transitions.
 
     def set_reach(self, member: Member, reach: str, reason: str) -> None:
-        """Notes by which way a member is reached."""
+        """Sets whether a member is reached directly, indirectly or not at all, see `Member`."""
         if reach != member.reach:
             source = self._context.local.name
             self._context.record_change(member, member.reach, reach, source, reason)
@@ -153,18 +177,18 @@
         source: str,
         reason: str,
     ) -> None:
-        """Moves a member to a state and incarnation, and all that depends on it."""
-        old = member.state
+        """Sets the state and incarnation of a member and updates everything that depends on them."""
+        old_state = member.state
         member.incarnation = incarnation
-        if state == old:
+        if state == old_state:
             return
         member.state, member.state_since_us = state, self._context.now_us
         if state == MemberState.ALIVE:
-            self._on_recovery(member, old)
-        self._context.table.count_transition(member, old)
+            self._on_recovery(member, old_state)
+        self._context.table.count_transition(member, old_state)
         if state != MemberState.SUSPECT:
             self._suspicions.clear(member.name)
-        was_live = old <= MemberState.SUSPECT
+        was_live = old_state <= MemberState.SUSPECT
         if (
             state == MemberState.ALIVE
             and not was_live
@@ -172,13 +196,13 @@
         ):
             self._probe_round.insert(member.name)
         self._context.record_change(
-            member, old.name.lower(), state.name.lower(), source, reason
+            member, old_state.name.lower(), state.name.lower(), source, reason
         )
 
     def suspect(
         self, member: Member, incarnation: int, source: str, reason: str
     ) -> None:
-        """`source` suspects a member: a new suspicion, or one more confirmation."""
+        """Records that `source` suspects a member, as a new suspicion or as one more confirmation."""
         suspicion = self._suspicions.by_name.get(member.name)
         if (
             member.state != MemberState.SUSPECT
@@ -192,16 +216,16 @@
             self._suspicions.set_deadline(suspicion)
             self._dissemination.enqueue(member.update(source))
 
-    def _on_recovery(self, member: Member, old: MemberState) -> None:
-        """A member becomes alive again; called before the table counts it."""
-        if old in (MemberState.SUSPECT, MemberState.DEAD):
+    def _on_recovery(self, member: Member, old_state: MemberState) -> None:
+        """Handles a member that becomes alive; called before the table counts it as live."""
+        if old_state in (MemberState.SUSPECT, MemberState.DEAD):
             member.recovered_us = self._context.now_us
-        if old == MemberState.DEAD:
+        if old_state == MemberState.DEAD:
             self._anti_entropy.schedule_after_arrival()
             self._suspicions.extend_after_recovery()
 
     def _add(self, update: MemberUpdate) -> Member:
-        """Adds an unknown member as alive, and disseminates it."""
+        """Adds an unknown member as alive and disseminates it."""
         member = Member(
             update.name,
             update.host,
@@ -215,17 +239,17 @@
         self._context.table.insert(member)
         self._probe_round.insert(member.name)
         self._anti_entropy.schedule_after_arrival()
-        reason = "heard from it" if update.source == update.name else "gossip"
+        reason = "it sent a datagram" if update.source == update.name else "gossip"
         self._context.record_change(member, "unknown", "alive", update.source, reason)
         self._dissemination.enqueue(member.update(self._context.local.name))
         return member
 
     def _complete_zone(self, member: Member, update: MemberUpdate) -> None:
-        """Takes over the zone of a member that was first heard of without one."""
-        placed = replace(update, host=member.host, port=member.port)
-        self._context.table.relocate(member, placed)
+        """Sets the zone and region of a member that was added without them."""
+        relocated = replace(update, host=member.host, port=member.port)
+        self._context.table.relocate(member, relocated)
         if member.state == MemberState.ALIVE:
-            # In place of the update without a zone that may still be queued.
+            # This replaces an update without a zone that may still be queued.
             self._dissemination.enqueue(member.update(self._context.local.name))
 
     def _on_update_about_local(self, update: MemberUpdate) -> None:
@@ -234,13 +258,13 @@
             update.state != MemberState.ALIVE or update.incarnation > local.incarnation
         )
         if is_contradiction and update.incarnation >= local.incarnation:
-            reason = f"{update.source} said {update.state.name.lower()}"
+            reason = f"{update.source} reported {update.state.name.lower()}"
             self.refute(update.incarnation, update.source, reason)
         elif (
             update.incarnation == local.incarnation
             and (update.host, update.port) != local.address
         ):
-            # Left over from this node's last process, or a second node with its name.
+            # Left over from an earlier process of this node, or sent about a second node with its name.
             self._context.counters.conflicts += 1
             reason = f"known at {update.host}:{update.port}"
             self.refute(update.incarnation, update.source, reason)
@@ -270,7 +294,7 @@
             and update.incarnation == member.incarnation
             and (update.host, update.port) != member.address
         ):
-            # Its incarnation arrived first, in a datagram of its own that named no address.
+            # Its incarnation arrived first, in one of its own datagrams, which do not state an address.
             self._context.table.relocate(member, update)
             self._dissemination.enqueue(update)
         else:
@@ -291,8 +315,8 @@
         self._dissemination.enqueue(update)
 
 
-def _introduction(envelope: MembershipEnvelope, source: Address) -> MemberUpdate:
-    """What a datagram says of an unknown sender."""
+def _update_from_sender(envelope: MembershipEnvelope, source: Address) -> MemberUpdate:
+    """Returns an update that describes the unknown sender of a datagram as alive at its source address."""
     return MemberUpdate(
         envelope.sender,
         source[0],
--- a/loadbalancer/node/features/membership_host.py
+++ b/loadbalancer/node/features/membership_host.py
@@ -319,7 +319,7 @@
 
     def _row(self, member: Member, now_us: int) -> dict[str, Any]:
         since_us = member.state_since_us
-        known_us = max(member.last_heard_us, since_us)
+        known_us = max(member.last_received_us, since_us)
         return {
             "name": member.name,
             "address": f"{member.host}:{member.port}",
