--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -14,7 +14,7 @@
 from loopback import Bench, Server, play, until
 from test_audit import NEXT, Net, close, fleet
 from test_audit import QUICK as QUICK_AUDIT
-from test_members import asked, node_with
+from test_members import get_admin, node_with
 
 from loadbalancer.audit.fleet_view import HealthState
 from loadbalancer.audit.status import KIND, QuarantineState
@@ -342,7 +342,7 @@
                 p(b)["fleet"]["fronts"][0]["in_force_s"] is not None for b in benches
             )
         )
-        status, page = await asked(benches[0].node, "/admin/cells")
+        status, page = await get_admin(benches[0].node, "/admin/cells")
         assert status == 200
         assert page["cells"] == 3
         assert page["collected"]["standings"]["current"] == 8
@@ -352,7 +352,7 @@
             near = [n for n in MANY if THREE.cell_of(n) == int(number)]
             assert set(reporters(int(number), near)) <= set(cell["speakers"])
         assert set(page["members"]) == set(THREE.scope("n2", MANY))
-        figures = (await asked(benches[1].node, "/admin/stats"))[1]["cells"]
+        figures = (await get_admin(benches[1].node, "/admin/stats"))[1]["cells"]
         assert figures["fleet_heard"] == 3
         assert not figures["collects"]
         assert not figures["refused"]
@@ -379,7 +379,7 @@
         for name in COLLECTORS:
             by_name[name].node.feature_host.stop(graceful=True)
         await until(lambda: all(part(b).fleet is None for b in rest))
-        assert (await asked(rest[0].node, "/admin/cells"))[0] == 503
+        assert (await get_admin(rest[0].node, "/admin/cells"))[0] == 503
         for bench in rest:  # the cells' own work goes on
             bench.discovery.say(51, True)
 
@@ -499,7 +499,7 @@
         )
         assert part(quiet).timer is None
         assert part(quiet).channel is None
-        assert (await asked(quiet.node, "/admin/cells"))[0] == 200
+        assert (await get_admin(quiet.node, "/admin/cells"))[0] == 200
         off = await node_with(wish(cells=TELLING), peers=False, name="n2")
         assert "cells" not in off.node.feature_host.features
         assert off.node.members is None
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership (SWIM with Lifeguard) on the lab's emulated network: deaths, pauses, cuts, loss, restarts."""
+"""Membership (SWIM with Lifeguard) on the emulated network: deaths, pauses, partitions, loss, restarts."""
 
 from __future__ import annotations
 
@@ -44,19 +44,21 @@
 def settled(
     size: int, seed: int = 3, net: Net | None = None, swim: SwimSettings = BASE
 ) -> World:
+    """Returns a world in which all members know each other, after at most 30 s."""
     world = World(size, swim, seed, net)
     for second in range(1, 31):
         world.run(second * SECOND)
         if world.agreed(set()):
             return world
-    raise AssertionError("members should know each other within thirty seconds")
+    raise AssertionError("members do not know each other within 30 s")
 
 
 def dead_everywhere(world: World, name: str) -> bool:
+    """Whether no live member counts this one as live."""
     return all(world.state(n.name, name) in NOT_LIVE for n in world.live())
 
 
-def test_a_killed_member_is_dead_to_all_within_ten_seconds() -> None:
+def test_a_killed_member_is_dead_for_all_within_ten_seconds() -> None:
     world = settled(6)
     world.kill("m4", world.now)
     world.run(world.now + 10 * SECOND)
@@ -74,12 +76,12 @@
         assert world.agreed(set())
 
 
-def test_without_bearing_pauses_the_same_pause_kills() -> None:
-    # The floor on suspicion is what saves the paused member: with it gone, the pause is taken for a death.
-    short = replace(BASE, pause_tolerance_us=0)
+def test_without_pause_tolerance_the_same_pause_is_declared_a_death() -> None:
+    # The minimum time of a suspicion saves the paused member; without it the pause counts as a death.
+    intolerant = replace(BASE, pause_tolerance_us=0)
     killed = 0
     for seed in range(4):
-        world = settled(6, seed, swim=short)
+        world = settled(6, seed, swim=intolerant)
         world.pause("m2", 11 * SECOND, 3 * SECOND)
         world.run(40 * SECOND)
         world.collect()
@@ -87,7 +89,7 @@
     assert killed >= 2
 
 
-def test_a_one_way_cut_is_reported_as_such_and_kills_nobody() -> None:
+def test_one_way_loss_is_reported_as_indirect_reach_and_causes_no_death() -> None:
     net = Net()
     world = settled(5, net=net)
     net.cut.add(("m1", "m3"))  # m1's datagrams to m3 are lost; m3 to m1 pass
@@ -99,14 +101,14 @@
     assert world.nodes["m2"].swim.members["m3"].reach == "direct"
 
 
-def test_five_percent_loss_kills_nobody() -> None:
+def test_five_percent_loss_causes_no_death() -> None:
     world = settled(8, net=Net(loss=0.05))
     world.run(120 * SECOND)
     world.collect()
     assert not [c for _, c in world.changes if c.new == "dead"]
 
 
-def test_a_restarted_member_comes_back_with_a_higher_incarnation() -> None:
+def test_a_restarted_member_rejoins_with_a_higher_incarnation() -> None:
     world = settled(5)
     world.kill("m2", 10 * SECOND)
     world.run(20 * SECOND)
@@ -119,7 +121,7 @@
     )
 
 
-def test_a_member_that_restarts_within_the_suspicion_is_not_left_dead() -> None:
+def test_a_member_that_restarts_while_suspected_does_not_stay_dead() -> None:
     world = settled(5)
     world.kill("m3", 10 * SECOND)
     world.restart("m3", 11 * SECOND)
@@ -127,7 +129,7 @@
     assert world.agreed(set())
 
 
-def test_a_partition_of_one_heals_and_all_agree() -> None:
+def test_after_a_partition_of_one_member_heals_all_agree() -> None:
     world = settled(6)
     world.groups = [{"m5"}, {"m0", "m1", "m2", "m3", "m4"}]
     world.run(30 * SECOND)
@@ -137,10 +139,10 @@
     assert world.agreed(set())
 
 
-def test_both_sides_of_a_partition_come_together_at_once_and_bury_nobody_of_their_own() -> (
+def test_sides_of_a_partition_rejoin_at_once_without_deaths_among_their_own_members() -> (
     None
 ):
-    # Of 5 members and 9 s: some suspicions of either side still run when it heals, others have become deaths.
+    # With 5 members and 9 s some suspicions on either side still run when it heals; others became deaths.
     for seed in range(6):
         world = World(5, BASE, seed, settled=True)
         near = {"m0", "m1", "m2"}
@@ -158,26 +160,27 @@
         assert not own, f"seed {seed}"
 
 
-def test_who_knows_a_suspicion_by_hearsay_alone_asks_before_it_declares_a_death() -> (
+def test_a_member_that_knows_a_suspicion_by_gossip_probes_before_it_declares_a_death() -> (
     None
 ):
     swim = Swim(Member("a", "127.0.0.1", 1), BASE, seed=1)
     swim.join(0, [])
-    news = [
+    updates = [
         MemberUpdate(n, "127.0.0.1", p, 0, s, "b")
         for n, p, s in (("b", 2, MemberState.ALIVE), ("c", 3, MemberState.SUSPECT))
     ]
     datagram = encode(
-        MembershipEnvelope(PROTOCOL_VERSION, BASE.cluster, "b", 0, Ping(1, "a"), news)
+        MembershipEnvelope(
+            PROTOCOL_VERSION, BASE.cluster, "b", 0, Ping(1, "a"), updates
+        )
     )
     swim.receive(SECOND, datagram, ("127.0.0.1", 2))
-    asked = False
+    is_probed = False
     while swim.context.now_us < 60 * SECOND:
         for send in swim.tick(swim.next_deadline()):
             message = decode(send.data, BASE.cluster).message
-            if (
-                isinstance(message, Ping) and message.target == "b"
-            ):  # b answers, c never does
+            # b answers, c never does.
+            if isinstance(message, Ping) and message.target == "b":
                 answer = encode(
                     MembershipEnvelope(
                         PROTOCOL_VERSION,
@@ -189,14 +192,14 @@
                     )
                 )
                 swim.receive(swim.context.now_us, answer, ("127.0.0.1", 2))
-            asked |= isinstance(message, Ping) and message.target == "c"
+            is_probed |= isinstance(message, Ping) and message.target == "c"
         if any(c.name == "c" and c.new == "dead" for c in swim.take_changes()):
             break
-    assert asked
+    assert is_probed
     assert swim.members["c"].state == MemberState.DEAD
 
 
-def test_half_of_all_members_killed_at_once_are_dead_to_the_others_within_fifteen_seconds() -> (
+def test_half_of_all_members_killed_at_once_are_dead_for_the_others_within_15_s() -> (
     None
 ):
     world = World(60, BASE, 1, settled=True)
@@ -209,7 +212,7 @@
     assert not [c for _, c in world.changes if c.new == "dead" and c.name not in dead]
 
 
-def test_a_suspicion_that_a_confirmation_ends_at_once_is_not_taken_for_a_stall() -> (
+def test_a_suspicion_that_a_confirmation_ends_at_once_does_not_count_as_a_stall() -> (
     None
 ):
     world = World(60, BASE, 1, settled=True)
@@ -217,12 +220,11 @@
     for i in range(0, 60, 4):
         world.kill(f"m{i}", world.now)
     world.run(18 * SECOND)
-    assert (
-        sum(n.swim.context.local_health for n in world.live()) <= 5
-    )  # nothing stood still
+    # No process has stalled.
+    assert sum(n.swim.context.local_health for n in world.live()) <= 5
 
 
-def test_an_exchange_is_answered_once_however_many_datagrams_it_takes() -> None:
+def test_an_exchange_of_several_datagrams_is_answered_once() -> None:
     one, two = (
         Swim(Member(n, "127.0.0.1", p), BASE, seed=1) for n, p in (("a", 1), ("b", 2))
     )
@@ -247,16 +249,18 @@
             ),
             ("", 9),
         )
-    asked = one.anti_entropy.send_table(two.local.address, Sync())
+    requests = one.anti_entropy.send_table(two.local.address, Sync())
     answers = [
-        send for ask in asked for send in two.receive(2, ask.data, one.local.address)
+        send
+        for request in requests
+        for send in two.receive(2, request.data, one.local.address)
     ]
-    assert len(asked) > 2
-    assert len(answers) <= len(asked) + 1
-    assert len(two.members) == 202  # a, x and the rest
+    assert len(requests) > 2
+    assert len(answers) <= len(requests) + 1
+    assert len(two.members) == 202  # a, x and the 200 others
 
 
-def test_an_address_that_another_name_has_taken_over_keeps_neither_from_the_truth() -> (
+def test_if_another_member_takes_over_an_address_the_states_of_both_are_correct() -> (
     None
 ):
     world = settled(5)
@@ -271,16 +275,13 @@
     )
 
 
-def test_a_member_that_comes_back_at_another_address_is_found_there() -> None:
-    for after in (
-        SECOND // 20,
-        SECOND,
-    ):  # before it is suspected; then, when news of that meets it at its start
+def test_a_member_that_rejoins_at_another_address_is_known_there() -> None:
+    # Before it is suspected, and later, when it receives the suspicion at its start.
+    for delay_us in (SECOND // 20, SECOND):
         world = settled(5)
         world.kill("m3", world.now)
-        world.start(
-            "m3", 44, world.now + after
-        )  # knowing nothing, at incarnation 0 as the one before
+        # It starts without any state, at incarnation 0 like the earlier process.
+        world.start("m3", 44, world.now + delay_us)
         world.run(world.now + 15 * SECOND)
         assert world.agreed(set())
         assert all(
@@ -288,8 +289,8 @@
         )
 
 
-def slow_member(swim: SwimSettings) -> int:
-    """How many others a member suspects whose loop stands still for 340 of each 400 ms, 60 ms from all."""
+def suspicions_by_slow_member(swim: SwimSettings) -> int:
+    """Counts the suspicions by a member whose loop stalls for 340 of each 400 ms, 60 ms from all others."""
     world = settled(8, swim=swim, net=Net(delay=60_000))
     start = world.now
     for turn in range(75):
@@ -303,20 +304,20 @@
     )
 
 
-def test_a_member_with_a_slow_loop_slows_down_instead_of_accusing_others() -> None:
-    accused = slow_member(replace(BASE, max_local_health=0))
-    assert accused >= 20
-    assert slow_member(BASE) <= accused / 2
+def test_a_member_with_a_slow_loop_slows_down_instead_of_suspecting_others() -> None:
+    suspicions = suspicions_by_slow_member(replace(BASE, max_local_health=0))
+    assert suspicions >= 20
+    assert suspicions_by_slow_member(BASE) <= suspicions / 2
 
 
 def test_every_small_world_of_two_faults_ends_in_agreement() -> None:
-    # 225 sequences; of three and four faults, 3,375 and 50,625 by hand (docs/membership.md).
-    bad = {
+    # 225 sequences. The 3,375 of three and 50,625 of four faults can be run manually (docs/membership.md).
+    violating = {
         sequence: wrong
         for sequence in worlds(3, 2)
         if (wrong := violations(3, sequence, seed=1))
     }
-    assert not bad
+    assert not violating
 
 
 def test_duplicated_and_reordered_datagrams_change_nothing() -> None:
@@ -328,7 +329,7 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=1_600))
-def test_any_datagram_is_taken_without_harm(data: bytes) -> None:
+def test_any_datagram_is_received_without_harm(data: bytes) -> None:
     swim = Swim(Member("a", "127.0.0.1", 1), BASE, seed=1)
     swim.join(0, [("127.0.0.1", 2)])
     assert swim.receive(1, data, ("127.0.0.1", 9)) == []
@@ -336,7 +337,7 @@
     assert counters.malformed + counters.foreign + counters.received == 1
 
 
-def test_a_clock_that_goes_back_is_taken_as_standing_still() -> None:
+def test_a_clock_that_goes_backwards_counts_as_standing_still() -> None:
     swim = Swim(Member("a", "127.0.0.1", 1), BASE, seed=1)
     swim.join(5 * SECOND, [])
     swim.tick(4 * SECOND)
@@ -356,7 +357,7 @@
 def test_small_worlds_agree_after_any_faults_heal(
     size: int, faults: list[tuple[str, int, int]]
 ) -> None:
-    # Small worlds under drawn faults within 20 s: once the faults end, every live member is alive to all.
+    # Small worlds with random faults during 20 s: after the faults end, every live member is alive for all.
     net = Net(duplicate=0.05, jitter=2_000)
     world = settled(size, net=net)
     start = world.now
@@ -382,12 +383,11 @@
             for o, c in world.changes
             if o == node.name and c.old == "dead" and c.new == "alive"
         ]:
-            assert (
-                change.incarnation > 0
-            )  # a dead member comes back only with a higher incarnation
+            # A dead member becomes alive only with a higher incarnation.
+            assert change.incarnation > 0
 
 
-def apart(
+def healed_partition(
     size: int,
     cut_off: int,
     seconds: int,
@@ -395,7 +395,7 @@
     seed: int = 1,
     swim: SwimSettings = BASE,
 ) -> World:
-    """A settled world whose last members have been cut off for so long, and are joined again."""
+    """A settled world whose last `cut_off` members were partitioned for some seconds, just after healing."""
     world = World(size, swim, seed, settled=True, seeds=seeds)
     names = list(world.nodes)
     world.run(3 * SECOND)
@@ -406,37 +406,39 @@
     return world
 
 
-def test_sides_that_were_apart_for_longer_than_the_dead_are_remembered_come_together() -> (
+def test_sides_rejoin_after_a_partition_longer_than_the_retention_of_dead_members() -> (
     None
 ):
-    # The seeds on the larger side, on the smaller, on both, and decommissioned: nobody has port 900.
+    # The seeds are on the larger side, on the smaller, on both, or decommissioned: no member has port 900.
     for seeds in ((1, 2), (11, 12), (1, 12), (900,)):
-        world = apart(12, 4, 400, seeds)
-        assert all(len(n.swim.members) < 11 for n in world.live())  # forgotten indeed
+        world = healed_partition(12, 4, 400, seeds)
+        # Dead members have been removed.
+        assert all(len(n.swim.members) < 11 for n in world.live())
         world.run(world.now + 30 * SECOND)
         assert world.agreed(set()), f"seeds {seeds}"
 
 
-def test_sides_whose_members_have_no_addresses_of_the_others_come_together_through_a_seed() -> (
+def test_sides_whose_members_have_no_addresses_of_the_other_side_rejoin_through_a_seed() -> (
     None
 ):
     for seeds in ((1,), (12,), (1, 12)):
-        world = apart(12, 4, 400, seeds)
+        world = healed_partition(12, 4, 400, seeds)
         for node in world.live():
-            node.swim.recovery.forgotten.clear()  # as in processes that began while the sides were apart
+            # As in processes that started during the partition.
+            node.swim.recovery.forgotten.clear()
         world.run(world.now + 30 * SECOND)
         assert world.agreed(set()), f"seeds {seeds}"
 
 
-def test_sides_that_were_apart_for_an_hour_come_together() -> None:
+def test_sides_rejoin_after_a_partition_of_an_hour() -> None:
     for seeds in ((1,), (900,)):
-        world = apart(6, 2, 3_600, seeds)
+        world = healed_partition(6, 2, 3_600, seeds)
         world.run(world.now + 30 * SECOND)
         assert world.agreed(set()), f"seeds {seeds}"
 
 
-def test_zones_are_known_again_after_sides_were_apart() -> None:
-    # A member first heard in a datagram of its own is known without its zone, until somebody tells it.
+def test_zones_are_known_again_after_a_partition() -> None:
+    # A member that is added because of its own datagram has no zone until another member reports it.
     for seed in (1, 2):
         world = World(24, BASE, seed, settled=True, seeds=(1, 24), zones=9)
         world.run(3 * SECOND)
@@ -452,7 +454,9 @@
                 )
 
 
-def test_a_check_tells_a_zone_to_one_that_holds_the_same_members_without_it() -> None:
+def test_a_sync_delivers_a_zone_to_a_member_that_knows_the_same_members_without_it() -> (
+    None
+):
     one, two = (
         Swim(Member(n, "10.0.0.1", p), BASE, seed=1) for n, p in (("a", 1), ("b", 2))
     )
@@ -480,7 +484,7 @@
     assert (one.members["c"].zone, one.members["c"].region) == ("north", "region")
 
 
-def test_the_play_of_a_reunion_tells_times_and_bytes() -> None:
+def test_the_rejoin_measurement_reports_times_and_bytes() -> None:
     for restarted in (False, True):
         figures = measure_rejoin(
             RejoinScenario(12, 1, 4, 20 * SECOND, (1, 2), restarted=restarted)
@@ -493,7 +497,7 @@
         assert "agree" in figures.row()
 
 
-def test_the_digest_kept_by_increments_is_that_of_all_held_live() -> None:
+def test_the_incremental_digest_equals_that_of_all_live_members() -> None:
     world = World(12, BASE, 1, settled=True, seeds=(1, 12), zones=3)
     world.run(3 * SECOND)
     world.groups = [{f"m{i}" for i in range(8)}, {f"m{i}" for i in range(8, 12)}]
@@ -506,7 +510,7 @@
     for _ in range(60):
         world.run(world.now + SECOND // 2)
         for node in world.live():
-            held = [
+            live = [
                 node.swim.local,
                 *(
                     m
@@ -514,28 +518,30 @@
                     if m.state <= MemberState.SUSPECT
                 ),
             ]
-            assert node.swim.digest == sum(map(fingerprint, held)) % DIGEST_MODULUS
-            assert node.swim.table.live_count == len(held) - 1
+            assert node.swim.digest == sum(map(fingerprint, live)) % DIGEST_MODULUS
+            assert node.swim.table.live_count == len(live) - 1
     assert world.agreed(set())
 
 
-def asks(world: World) -> Counter[int]:
-    """Counts, from now on, the datagrams to each port that ask for a list."""
-    found: Counter[int] = Counter()
+def count_sync_requests(world: World) -> Counter[int]:
+    """Counts the sync requests to each port from now on."""
+    requests: Counter[int] = Counter()
     send = world.send
 
     def count(node: Node, sends: list[SendDatagram]) -> None:
         for one in sends:
             message = decode(one.data, BASE.cluster).message
-            found[one.address[1]] += isinstance(message, Sync) and not message.is_reply
+            requests[one.address[1]] += (
+                isinstance(message, Sync) and not message.is_reply
+            )
         send(node, sends)
 
     world.send = count  # type: ignore[method-assign]
-    return found
+    return requests
 
 
-def test_the_digest_of_a_view_that_was_handed_in_is_that_of_its_members() -> None:
-    # As worlds that begin settled do: members are put in before the first datagram.
+def test_the_digest_of_a_replaced_table_is_that_of_its_members() -> None:
+    # Worlds that start settled replace the table like this, before the first datagram.
     one, two = (
         Swim(Member(n, "10.0.0.1", p), BASE, seed=1) for n, p in (("a", 1), ("b", 2))
     )
@@ -555,84 +561,80 @@
     assert len(answer.data) < 100
 
 
-def test_seeds_that_are_gone_for_ever_are_asked_once_a_second_by_all_together() -> None:
-    # The first is a member, the others are nobody's; each member has its own address among them too.
+def test_all_members_together_ask_decommissioned_seeds_once_a_second() -> None:
+    # The first seed is a member, the others are unused; each member also lists its own address.
     for size in (6, 24):
         world = World(size, BASE, 1, settled=True, seeds=(1, 900, 901))
         for node in world.nodes.values():
             node.swim.join(0, [*world.seeds, node.swim.local.address])
-        found = asks(world)
+        requests = count_sync_requests(world)
         world.run(300 * SECOND)
-        gone = found[900] + found[901]
-        assert 200 < gone < 400, (
-            f"{size} members"
-        )  # so a member's part shrinks as they are more
-        assert (
-            found[1] < 2 * 300 * size / 30 / size + 20
-        )  # held live: asked no more than any other
+        decommissioned = requests[900] + requests[901]
+        # The total does not depend on the number of members.
+        assert 200 < decommissioned < 400, f"{size} members"
+        # A live seed is asked no more often than any other member.
+        assert requests[1] < 2 * 300 * size / 30 / size + 20
 
 
-def test_an_address_of_another_cluster_is_asked_once_a_second_and_takes_in_nobody() -> (
+def test_an_address_of_another_cluster_is_asked_once_a_second_and_adds_no_member() -> (
     None
 ):
     world = World(6, BASE, 1, settled=True, seeds=(900,))
     other = Swim(Member("x", "emu", 900), replace(BASE, cluster="other"), seed=1)
     world.nodes["x"], world.by_port[900] = Node("x", other), "x"
-    found = asks(world)
+    requests = count_sync_requests(world)
     world.run(300 * SECOND)
-    assert 200 < found[900] < 400
+    assert 200 < requests[900] < 400
     assert not other.members
-    assert other.counters.foreign == found[900]
+    assert other.counters.foreign == requests[900]
     assert all("x" not in n.swim.members for n in world.nodes.values())
     assert all(len(n.swim.members) == 5 for n in world.nodes.values() if n.name != "x")
 
 
-def test_a_seed_that_says_another_address_is_known_by_its_answer() -> None:
+def test_a_seed_with_a_second_address_is_recognised_by_its_answer() -> None:
     world = World(4, BASE, 1, settled=True, seeds=(70,))
-    # It is reached at a second address, too, from which it answers
+    # m0 is also reached at a second address, from which it answers.
     world.by_port[70] = "m0"
     arrival = world.arrival
 
-    def told(target: str, data: bytes, source: tuple[str, int]) -> Callable[[], None]:
+    def arrival_from_seed(
+        target: str, data: bytes, source: tuple[str, int]
+    ) -> Callable[[], None]:
         return arrival(target, data, ("emu", 70) if source == ("emu", 1) else source)
 
-    world.arrival = told  # type: ignore[method-assign]
-    found = asks(world)
+    world.arrival = arrival_from_seed  # type: ignore[method-assign]
+    requests = count_sync_requests(world)
     world.run(120 * SECOND)
-    assert (
-        0 < found[70] < 60
-    )  # until each knows whom it asks there: after that, the ordinary checks
-    first = found[70]
+    # Until each member knows which one answers there; after that only periodic syncs follow.
+    assert 0 < requests[70] < 60
+    first = requests[70]
     world.run(300 * SECOND)
-    assert found[70] - first < 30
+    assert requests[70] - first < 30
 
 
-def test_an_ask_of_one_that_holds_the_same_members_live_costs_two_small_datagrams() -> (
-    None
-):
+def test_a_sync_between_members_with_equal_digests_costs_two_small_datagrams() -> None:
     world = World(60, BASE, 1, settled=True)
     world.run(SECOND)
     one, two = world.nodes["m0"].swim, world.nodes["m1"].swim
-    ask = one.anti_entropy.request(two.local.address)
-    (answer,) = two.receive(world.now, ask.data, one.local.address)
-    assert len(ask.data) < 100
+    request = one.anti_entropy.request(two.local.address)
+    (answer,) = two.receive(world.now, request.data, one.local.address)
+    assert len(request.data) < 100
     assert len(answer.data) < 100
     assert one.receive(world.now, answer.data, two.local.address) == []
     two.transitions.set_state(two.members["m7"], MemberState.DEAD, 0, "m1", "")
-    answers = two.receive(world.now, ask.data, one.local.address)
-    assert len(b"".join(a.data for a in answers)) > 1_000  # all that it knows
+    answers = two.receive(world.now, request.data, one.local.address)
+    assert len(b"".join(a.data for a in answers)) > 1_000  # the complete table
     for answer in reversed(answers):  # its last datagram first
         assert one.receive(world.now, answer.data, two.local.address) == []
-    back = one.tick(
-        world.now + SECOND // 10
-    )  # and is told in turn by one that holds more
+    # The requester sends its own table in return, since it differs.
+    returned = one.tick(world.now + SECOND // 10)
     assert any(
         isinstance(m := decode(s.data, BASE.cluster).message, Sync) and m.is_reply
-        for s in back
+        for s in returned
     )
 
 
-def test_a_crowd_that_asks_at_once_gets_some_members_each_and_lists_up_to_a_bound() -> (
+def test_many_members_that_ask_at_once_get_some_members_each_and_a_bounded_number_of_tables() -> (
     None
 ):
     seed = Swim(Member("a", "10.0.0.1", 1), BASE, seed=1)
@@ -658,22 +660,23 @@
         )
     sent, learned = 0, []
     for i in range(300):
-        back = Swim(Member(f"back-{i}", "10.0.0.3", 100 + i), BASE, seed=i)
-        (ask,) = back.join(0, [seed.local.address])
-        answers = seed.receive(SECOND + i, ask.data, back.local.address)
+        joiner = Swim(Member(f"back-{i}", "10.0.0.3", 100 + i), BASE, seed=i)
+        (request,) = joiner.join(0, [seed.local.address])
+        answers = seed.receive(SECOND + i, request.data, joiner.local.address)
         sent += len(answers)
         for answer in answers:
-            back.receive(SECOND + i, answer.data, seed.local.address)
-        learned.append(len(back.members))
+            joiner.receive(SECOND + i, answer.data, seed.local.address)
+        learned.append(len(joiner.members))
     assert learned[0] == 602  # with x and the seed
-    assert min(learned) >= 20  # enough to ask another of
+    assert min(learned) >= 20  # enough to ask one of them
     assert sent < 300 + 2 * SYNC_BURST_DATAGRAMS
-    assert (
-        len(seed.receive(60 * SECOND, ask.data, back.local.address)) > 10
-    )  # it has room again
+    # Its budget allows a complete table again.
+    assert len(seed.receive(60 * SECOND, request.data, joiner.local.address)) > 10
 
 
-def test_a_member_that_has_just_begun_does_not_tell_its_seeds_their_own_list() -> None:
+def test_a_member_that_has_just_started_does_not_send_its_seeds_their_own_table() -> (
+    None
+):
     one, seed = (
         Swim(Member(n, "10.0.0.1", p), BASE, seed=1) for n, p in (("a", 1), ("b", 2))
     )
@@ -688,12 +691,11 @@
         ),
         ("10.0.0.1", 3),
     )
-    (ask,) = one.join(0, [seed.local.address])
-    for answer in seed.receive(SECOND, ask.data, one.local.address):
+    (request,) = one.join(0, [seed.local.address])
+    for answer in seed.receive(SECOND, request.data, one.local.address):
         one.receive(SECOND, answer.data, seed.local.address)
-    other = [
-        MemberUpdate("d", "10.0.0.1", 4, 0, MemberState.ALIVE, "d")
-    ]  # so that their digests differ
+    # Makes their digests differ.
+    other = [MemberUpdate("d", "10.0.0.1", 4, 0, MemberState.ALIVE, "d")]
     one.receive(
         SECOND,
         encode(
@@ -714,31 +716,31 @@
     assert not [m for m in messages if isinstance(m, Sync) and m.is_reply]
 
 
-def test_what_a_crowd_costs_its_seed_grows_with_the_crowd_and_not_with_lists() -> None:
+def test_the_cost_of_a_join_storm_for_its_seed_does_not_grow_with_the_size_of_the_table() -> (
+    None
+):
     small, large = (join_storm(known, 100) for known in (200, 800))
     assert max(small.datagrams, large.datagrams) < 100 + 2 * SYNC_BURST_DATAGRAMS
     assert min(small.least, large.least) >= 15
 
 
-def test_members_that_got_a_part_alone_know_all_soon() -> None:
+def test_members_that_received_only_a_sample_soon_know_all() -> None:
     world = World(150, BASE, 1, settled=True)
     world.run(SECOND)
-    back = [f"m{i}" for i in range(100, 150)]
-    for name in back:
+    restarted = [f"m{i}" for i in range(100, 150)]
+    for name in restarted:
         world.kill(name, world.now)
         world.restart(name, world.now + SECOND)
     world.run(world.now + 20 * SECOND)
     assert world.agreed(set())
 
 
-def test_a_member_that_left_while_a_side_was_away_is_not_brought_back() -> None:
+def test_a_member_that_left_during_a_partition_is_not_restored() -> None:
     world = World(10, BASE, 1, settled=True, seeds=(1, 10))
     world.run(3 * SECOND)
     world.groups = [{f"m{i}" for i in range(6)}, {f"m{i}" for i in range(6, 10)}]
-    for name, at in (
-        ("m8", 50),
-        ("m2", 390),
-    ):  # forgotten by all; then, just before it heals
+    # The first has been removed by all when the partition heals, the second leaves just before that.
+    for name, at in (("m8", 50), ("m2", 390)):
         node = world.nodes[name]
         world.run(at * SECOND)
         world.send(node, node.swim.leave(world.now))
@@ -751,10 +753,11 @@
     world.run(world.now + 60 * SECOND)
     world.collect()
     assert world.agreed({"m2", "m8"})
+    # The members of its own side know that m8 has left.
     assert all(
         ("emu", 9) not in world.nodes[f"m{i}"].swim.recovery.forgotten
         for i in (6, 7, 9)
-    )  # these knew why
+    )
     assert not [
         c
         for _, c in world.changes
@@ -762,10 +765,10 @@
     ]
 
 
-def test_a_side_that_returns_while_some_have_forgotten_it_needs_higher_incarnations_for_the_others() -> (
+def test_a_side_that_rejoins_after_removal_by_some_needs_higher_incarnations_for_others() -> (
     None
 ):
-    # Members look for whom to forget every 10 s, by clocks of their own: here some have, and some have not.
+    # Members remove dead ones every 10 s, each at its own time: here some have done so and some have not.
     for seconds in (304, 308, 312):
         world = World(10, BASE, 1, settled=True, seeds=(1, 10))
         for i, node in enumerate(world.nodes.values()):
@@ -790,32 +793,32 @@
                 assert change.incarnation > dead.get((observer, change.name), -1)
 
 
-def test_members_of_a_side_do_not_all_ask_the_same_seed_when_the_other_side_is_back() -> (
+def test_members_of_a_side_do_not_all_ask_the_same_seed_when_a_partition_heals() -> (
     None
 ):
-    world = apart(40, 13, 400, (1,))
-    found = asks(world)
+    world = healed_partition(40, 13, 400, (1,))
+    requests = count_sync_requests(world)
     world.run(world.now + 5 * SECOND)
-    assert found[1] <= 12  # of 13 members, with the ordinary checks
+    assert requests[1] <= 12  # from 13 members, including periodic syncs
     assert all(n.swim.counters.refuted == 0 for n in world.live())
     world.collect()
     late = [c for _, c in world.changes if c.new == "dead" and c.time_us > 403 * SECOND]
     assert not late
 
 
-def test_news_of_a_whole_side_that_gossip_has_not_brought_to_all_is_found_out_by_checks() -> (
+def test_syncs_repair_updates_about_a_side_that_gossip_has_not_delivered_to_all() -> (
     None
 ):
-    # In 100 members some always miss some of it; forgotten after 20 s here, to spare the wait.
+    # Of 100 members some always miss some updates. Retention is 20 s here, to shorten the test.
     forgetful = replace(BASE, dead_retention_us=20 * SECOND)
     for seed in (1, 2):
-        world = apart(100, 33, 70, (1, 100), seed, forgetful)
+        world = healed_partition(100, 33, 70, (1, 100), seed, forgetful)
         assert sum(len(n.swim.members) for n in world.live()) < 66 * 67 + 32 * 33 + 100
         world.run(world.now + 12 * SECOND)
         assert world.agreed(set()), f"seed {seed}"
 
 
-def test_a_single_dead_member_is_not_pinged_by_all_the_others_all_the_time() -> None:
+def test_a_single_dead_member_is_not_pinged_by_all_others_in_each_round() -> None:
     world = World(60, BASE, 1, settled=True)
     world.run(SECOND)
     world.kill("m7", world.now)
@@ -831,20 +834,20 @@
 
     world.send = count  # type: ignore[method-assign]
     world.run(40 * SECOND)
-    assert 40 < pings < 200  # all 59 of them, each 1.75 s, would be 674
-    world.nodes["m7"].down = False  # it was cut off, and is back
+    assert 40 < pings < 200  # from all 59 members every 1.75 s it would be 674
+    world.nodes["m7"].down = False  # it was partitioned and rejoins
     world.wake(world.nodes["m7"])
     world.run(50 * SECOND)
     assert world.agreed(set())
 
 
-def test_a_suspicion_that_was_about_to_end_when_a_cut_healed_waits_for_one_more_answer() -> (
+def test_a_suspicion_that_is_about_to_end_when_a_partition_heals_waits_for_one_more_ping() -> (
     None
 ):
     for answers in (True, False):
         swim = Swim(Member("a", "127.0.0.1", 1), BASE, seed=1)
         swim.join(0, [])
-        news = [
+        updates = [
             MemberUpdate(n, "127.0.0.1", p, 0, MemberState.ALIVE, "b")
             for n, p in (("b", 2), ("c", 3))
         ]
@@ -852,7 +855,7 @@
             1,
             encode(
                 MembershipEnvelope(
-                    PROTOCOL_VERSION, BASE.cluster, "b", 0, Ping(1, "a"), news
+                    PROTOCOL_VERSION, BASE.cluster, "b", 0, Ping(1, "a"), updates
                 )
             ),
             ("127.0.0.1", 2),
@@ -879,14 +882,14 @@
             ("127.0.0.1", 2),
         )
         assert swim.members["b"].state == MemberState.ALIVE
-        asked = 0
+        pings = 0
         while (
             suspect.state == MemberState.SUSPECT and swim.context.now_us < 25 * SECOND
         ):
             for send in swim.tick(swim.next_deadline()):
                 message = decode(send.data, BASE.cluster).message
                 if isinstance(message, Ping) and message.target == "c":
-                    asked += 1
+                    pings += 1
                     if answers:
                         data = encode(
                             MembershipEnvelope(
@@ -898,30 +901,29 @@
                             )
                         )
                         swim.receive(swim.context.now_us, data, ("127.0.0.1", 3))
-        assert asked
+        assert pings
         assert suspect.state == (MemberState.ALIVE if answers else MemberState.DEAD)
         assert swim.context.now_us < 21 * SECOND
 
 
-def test_who_has_a_suspicion_that_is_due_already_pings_once_more_before_it_declares_a_death() -> (
+def test_a_member_with_an_overdue_suspicion_pings_once_more_before_it_declares_a_death() -> (
     None
 ):
     swim = Swim(Member("a", "127.0.0.1", 1), BASE, seed=1)
     swim.join(0, [])
-    news = [MemberUpdate("c", "127.0.0.1", 3, 0, MemberState.SUSPECT, "b")]
+    updates = [MemberUpdate("c", "127.0.0.1", 3, 0, MemberState.SUSPECT, "b")]
     swim.receive(
         1,
         encode(
             MembershipEnvelope(
-                PROTOCOL_VERSION, BASE.cluster, "b", 0, Ping(1, "a"), news
+                PROTOCOL_VERSION, BASE.cluster, "b", 0, Ping(1, "a"), updates
             )
         ),
         ("127.0.0.1", 2),
     )
     suspect = swim.members["c"]
-    swim.context.now_us = (
-        60 * SECOND
-    )  # by hearsay for long; now the own probe has failed, which began within the cut
+    # Gossip has suspected c for a long time. Now this member's own probe fails, which started in a partition.
+    swim.context.now_us = 60 * SECOND
     swim.transitions.on_failed_probe(suspect, swim.context.now_us - SECOND, set())
     sends = swim.tick(swim.context.now_us)
     pings = [
@@ -934,12 +936,14 @@
 
 
 class EarlierSync(msgspec.Struct, tag=5, array_like=True, frozen=True):
-    """As members of the text before digests read it."""
+    """The sync message as versions before the digest decode it."""
 
     reply: bool = False
 
 
 class EarlierEnvelope(msgspec.Struct, array_like=True, frozen=True):
+    """The envelope as versions before the digest decode it."""
+
     version: int
     cluster: str
     sender: str
@@ -948,12 +952,12 @@
     gossip: list[MemberUpdate] = []
 
 
-def test_members_of_the_earlier_text_read_these_datagrams_and_are_answered_with_a_list() -> (
+def test_members_of_an_earlier_version_decode_requests_and_are_answered_with_a_table() -> (
     None
 ):
     swim = Swim(Member("a", "127.0.0.1", 1), BASE, seed=1)
-    (ask,) = swim.join(0, [("127.0.0.1", 2)])
-    read = msgspec.msgpack.decode(ask.data, type=EarlierEnvelope)
+    (request,) = swim.join(0, [("127.0.0.1", 2)])
+    read = msgspec.msgpack.decode(request.data, type=EarlierEnvelope)
     assert read.message == EarlierSync(False)
     assert [g.name for g in read.gossip] == ["a"]
     known = MemberUpdate("c", "127.0.0.1", 3, 0, MemberState.ALIVE, "b")
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from loopback import play, until
-from test_members import asked, node_with
+from test_members import get_admin, node_with
 
 from loadbalancer.config.operator_config import OperatorConfig, build
 from loadbalancer.node.features import weight_updates
@@ -132,7 +132,7 @@
                 and one.balancer.selector.tie_ratio > 1
             )
         )
-        assert (await asked(one, "/admin/stats"))[1]["spread"]["told"] == 2
+        assert (await get_admin(one, "/admin/stats"))[1]["spread"]["told"] == 2
         two.reload(two.config, wish(False, seed))
         await until(lambda: told(one) == {"n1"})
         assert told(two) == set()
