--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from loopback import play, until
-from test_members import asked, node_with
+from test_members import get_admin, node_with
 
 from loadbalancer.config.operator_config import OperatorConfig, build
 from loadbalancer.node.features import weight_updates
@@ -136,7 +136,7 @@
                 and one.balancer.selector.tie_ratio > 1
             )
         )
-        assert (await asked(one, "/admin/stats"))[1]["spread"]["told"] == 2
+        assert (await get_admin(one, "/admin/stats"))[1]["spread"]["told"] == 2
         two.reload(two.config, operator_config(False, seed))
         await until(lambda: reported_members(one) == {"n1"})
         assert reported_members(two) == set()
