--- a/loadbalancer/lab/swarm/hollow.py
+++ b/loadbalancer/lab/swarm/hollow.py
@@ -310,7 +310,7 @@
             counts = members.records_host.table.counters
             found["records"] = (counts.sent, counts.sent_bytes)
         for table, sent in node.feature_host.sent().items():
-            found[table] = (sent.count, sent.size)
+            found[table] = (sent.count, sent.size_bytes)
         return found
 
     async def begin(self, zero: float) -> dict[str, Any]:
--- a/loadbalancer/node/features/change_approval.py
+++ b/loadbalancer/node/features/change_approval.py
@@ -1,7 +1,8 @@
-"""Changes that features may hold up: all are asked in turn, and the node's own wait until all approve.
+"""Approval of changes by features: approvers are asked in turn, and the node's own changes wait for them.
 
-Without a feature that has a say, a change happens at once, as if this module were not there. What keeps the
-service rules is never asked for: drains, departures, ejection, failover, rejections, SIGTERM.
+An approver is a feature that overrides `on_change_requested`. Without approvers a change is made immediately,
+as if this module did not exist. Actions that keep the service within its rules never need approval: drains,
+departures of endpoints, ejection, failover, rejections, SIGTERM.
 """
 
 from __future__ import annotations
@@ -17,18 +18,19 @@
     from loadbalancer.freeze.messages import StateVersion
     from loadbalancer.node.features.host import NodeFeatureHost
 
-ANSWER_TIMEOUT_S = 15.0
-# A feature that does not answer so many times in a row has failed.
+ANSWER_TIMEOUT_S = 15.0  # for the answer of one feature
+# A feature is stopped as failed after this number of consecutive requests without an answer.
 MAX_TIMEOUTS = 3
-# A change that is held up is requested again after the wait that the answer names, within these bounds.
+# A deferred change is requested again after the delay that the answer names, clamped to these bounds.
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 60.0
+# The delay named to the requester where a feature has not answered or still waits for its store.
 RETRY_AFTER_NO_ANSWER_S = 1.0
 US_PER_S = 1e6
 
 
 class ApprovalRound:
-    """One request for approval, which goes from feature to feature; the first rejection is the answer."""
+    """One request for approval, which asks one approver after another; the first rejection is the answer."""
 
     def __init__(
         self,
@@ -38,13 +40,13 @@
         approvers: list[Feature],
         then: Callable[[Answer], None],
     ) -> None:
-        """Prepares a round; `ask_next` begins it.
+        """Prepares a round; `ask_next` starts it.
 
         Args:
             owner: The node's change approval.
             change: Kind of the change.
-            scope: Its scope.
-            approvers: The features to be asked, in their order.
+            scope: What the change affects.
+            approvers: The features to ask, in this order.
             then: Called once with the answer.
         """
         self.owner = owner
@@ -53,12 +55,14 @@
         self.remaining = approvers
         self.current: Feature | None = None  # the feature whose answer is awaited
         self._then = then
-        self._turn = 0  # an answer to another turn is ignored
+        # Number of the current question; answers to earlier ones are ignored.
+        self._turn = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._token: StateVersion | None = None  # the last one that was granted
+        # The last fencing token that an approver granted.
+        self._token: StateVersion | None = None
 
     def ask_next(self) -> None:
-        """Asks the next feature, or finishes with an approval if none is left."""
+        """Asks the next feature, or finishes with an approval if all have been asked."""
         if not self.remaining:
             self._finish(Answer(True, fencing_token=self._token))
             return
@@ -75,20 +79,20 @@
         )
 
     def remove(self, feature: Feature) -> None:
-        """A feature has stopped: what it has not answered goes on without it."""
+        """Removes a feature that has stopped; if its answer is awaited, it counts as an approval."""
         if feature in self.remaining:
             self.remaining.remove(feature)
         if self.current is feature:
             self._on_answer(self._turn, Answer(True))
 
     def cancel(self) -> None:
-        """Ignores any further answer."""
+        """Cancels the timeout and ignores any further answer to the current question."""
         self._turn += 1
         if self._timer is not None:
             self._timer.cancel()
 
     def _on_answer(self, turn: int, answer: Answer) -> None:
-        """Takes a feature's answer; a second one, or one that comes too late, changes nothing."""
+        """Handles a feature's answer; a repeated or late answer has no effect."""
         if turn != self._turn or self.current is None:
             return
         self.cancel()
@@ -101,20 +105,20 @@
         self.ask_next()
 
     def _on_timeout(self, turn: int) -> None:
-        """A feature has not answered in time.
+        """Handles a feature that has not answered in time.
 
-        Failure prevented: a feature that never answers holds up each change for ever, also the one of the
-        file that would switch it off.
+        Failure prevented: a feature that never answers defers every change for ever, including the reload of
+        the configuration that would switch the feature off.
         """
         feature = self.current
         if turn != self._turn or feature is None:
             return
         count = self.owner.timeouts.get(feature, 0) + 1
         if count >= MAX_TIMEOUTS:
-            reason = f"it has not answered {count} times in a row, {ANSWER_TIMEOUT_S:g} s each"
+            reason = f"it has not answered {count} requests in a row within {ANSWER_TIMEOUT_S:g} s each"
             self.owner.host.fail(feature, reason)
             return
-        reason = f"{feature.name or type(feature).__name__} has not answered"
+        reason = f"{feature.name or type(feature).__name__} has not answered in time"
         self._on_answer(turn, Answer(False, reason, RETRY_AFTER_NO_ANSWER_S))
         self.owner.timeouts[feature] = count
 
@@ -129,39 +133,39 @@
 
 @dataclass
 class PendingChange:
-    """One of the node's own changes that is not made yet.
+    """One of the node's own changes that waits for approval.
 
     Attributes:
-        matter: What it is about; of one matter only the last change is wanted.
-        changes: Its kinds, each of which is to be approved.
-        scope: Its scope.
+        subject: What the change is about, for the log; a new change replaces a pending one with its subject.
+        changes: The kinds of change, each of which needs approval.
+        scope: What the change affects.
         apply: Makes the change.
-        stays: What holds meanwhile, for the log.
-        since_us: When it was wanted, in monotonic microseconds.
-        reason: Why it was held up last; empty if it was not.
-        tokens: The fencing tokens of the kinds that are approved, in their order.
-        timer: Requests approval again.
+        meanwhile: What holds until the change is made, for the log.
+        since_us: When the change was requested first, in monotonic microseconds.
+        reason: Why it was deferred last; empty if it was not.
+        tokens: The fencing tokens of the kinds that are approved so far, in the order of `changes`.
+        timer: Timer of the next request for approval.
     """
 
-    matter: str
+    subject: str
     changes: tuple[Change, ...]
     scope: str
     apply: Callable[[], None]
-    stays: str
+    meanwhile: str
     since_us: int
     reason: str = ""
     tokens: list[StateVersion | None] = field(default_factory=list)
     timer: asyncio.TimerHandle | None = None
 
     def cancel_timer(self) -> None:
-        """Does not request approval again."""
+        """Cancels the next request for approval."""
         if self.timer is not None:
             self.timer.cancel()
 
     def table(self, now_us: int) -> dict[str, Any]:
-        """Its row for operators."""
+        """Returns the row of this change on the metrics page (`now_us`: monotonic microseconds)."""
         return {
-            "change": self.matter,
+            "change": self.subject,
             "kinds": [change.value for change in self.changes],
             "scope": self.scope,
             "waits_s": round((now_us - self.since_us) / US_PER_S, 1),
@@ -173,9 +177,10 @@
     """Approval of changes at one node.
 
     Attributes:
-        rounds: The requests that features are being asked.
-        pending: The node's own changes that are not made yet, by matter.
-        timeouts: How often in a row a feature has not answered.
+        host: The feature host of the node.
+        rounds: The requests that wait for answers of features.
+        pending: The node's own changes that wait for approval, by subject.
+        timeouts: Number of consecutive requests that a feature has not answered.
     """
 
     def __init__(self, host: NodeFeatureHost) -> None:
@@ -187,18 +192,16 @@
     def request(
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
-        """Asks all features that have a say.
+        """Asks all approvers.
 
         Args:
             change: Kind of the change.
-            scope: Its scope.
-            then: Called once, with the first rejection or an approval.
+            scope: What the change affects.
+            then: Called once, with the first rejection, or with an approval if no feature rejects.
         """
         waiting = self.host.lifecycle.waiting_approver()
         if waiting:
-            reason = (
-                f"part {waiting} waits for its store, which the log names; see there"
-            )
+            reason = f"feature {waiting} waits for its store; the log names the store's error"
             then(Answer(False, reason, RETRY_AFTER_NO_ANSWER_S))
             return
         approval_round = ApprovalRound(self, change, scope, self.approvers(), then)
@@ -206,7 +209,7 @@
         approval_round.ask_next()
 
     def approvers(self) -> list[Feature]:
-        """The running features that have a say in changes."""
+        """Returns the running features whose approval changes need."""
         return [
             feature
             for feature in self.host.features.values()
@@ -214,48 +217,50 @@
         ]
 
     def remove_feature(self, feature: Feature) -> None:
-        """A feature has stopped: what it was asked and has not answered goes on without it."""
+        """Removes a feature that has stopped from all rounds; they continue without it."""
         self.timeouts.pop(feature, None)
         for approval_round in list(self.rounds):
             approval_round.remove(feature)
 
     def apply_when_approved(
         self,
-        matter: str,
+        subject: str,
         changes: tuple[Change, ...],
         apply: Callable[[], None],
         scope: str = "",
-        stays: str = "all stays as it is",
+        meanwhile: str = "the current state stays in force",
     ) -> None:
-        """Makes one of the node's own changes once all approve; it replaces a pending one of its matter.
+        """Makes one of the node's own changes once all approve, instead of a pending one of the same subject.
 
-        Failure prevented: a change that was wanted an hour ago is made after the one that was to replace it.
+        Failure prevented: a change requested an hour ago is made after the one that should replace it.
 
         Args:
-            matter: What it is about.
-            changes: Its kinds.
+            subject: What the change is about, for the log.
+            changes: The kinds of change, each of which needs approval.
             apply: Makes the change.
-            scope: Its scope.
-            stays: What holds meanwhile, for the log.
+            scope: What the change affects.
+            meanwhile: What holds until the change is made, for the log.
         """
-        self.withdraw(matter)
-        pending = PendingChange(matter, changes, scope, apply, stays, self.host.now())
-        self.pending[matter] = pending
+        self.withdraw(subject)
+        pending = PendingChange(
+            subject, changes, scope, apply, meanwhile, self.host.now()
+        )
+        self.pending[subject] = pending
         self._continue(pending)
 
-    def withdraw(self, matter: str) -> None:
-        """A pending change is not wanted any more."""
-        pending = self.pending.pop(matter, None)
+    def withdraw(self, subject: str) -> None:
+        """Drops a pending change that is not wanted any more."""
+        pending = self.pending.pop(subject, None)
         if pending is None:
             return
         pending.cancel_timer()
         if pending.reason:
-            self.host.line(f"{matter} withdrawn")
+            self.host.line(f"{subject} withdrawn")
 
     def _continue(self, pending: PendingChange) -> None:
-        """Requests approval of the next kind of a change, or makes it if all are approved."""
+        """Requests approval of the next kind of a change, or makes the change if all kinds are approved."""
         pending.timer = None
-        if self.pending.get(pending.matter) is not pending:
+        if self.pending.get(pending.subject) is not pending:
             return
         if len(pending.tokens) == len(pending.changes):
             self._apply(pending)
@@ -267,10 +272,10 @@
         )
 
     def _apply(self, pending: PendingChange) -> None:
-        del self.pending[pending.matter]
+        del self.pending[pending.subject]
         if pending.reason:
             waited_s = (self.host.now() - pending.since_us) / US_PER_S
-            self.host.line(f"{pending.matter} resumed after_s={waited_s:.1f}")
+            self.host.line(f"{pending.subject} resumed after_s={waited_s:.1f}")
         pending.apply()
         for change, token in zip(pending.changes, pending.tokens, strict=True):
             for feature in list(self.host.features.values()):
@@ -279,27 +284,27 @@
                 )
 
     def _on_answer(self, pending: PendingChange, answer: Answer) -> None:
-        if self.pending.get(pending.matter) is not pending:
-            return  # another one has replaced it
+        if self.pending.get(pending.subject) is not pending:
+            return  # a newer change of the same subject has replaced it
         if answer.allowed:
             pending.tokens.append(answer.fencing_token)
             self._continue(pending)
             return
-        pending.tokens.clear()  # a grant may have expired by the next request
+        pending.tokens.clear()  # earlier grants may have expired by the next request
         if answer.reason != pending.reason:
             pending.reason = answer.reason
-            line = f"{pending.matter} deferred reason={answer.reason}; {pending.stays}"
+            line = f"{pending.subject} deferred reason={answer.reason}; {pending.meanwhile}"
             self.host.line(line)
         delay_s = min(MAX_RETRY_S, max(MIN_RETRY_S, answer.retry_after_s))
         pending.timer = self.host.loop.call_later(delay_s, self._continue, pending)
 
     def table(self) -> list[dict[str, Any]]:
-        """The pending changes, for operators."""
+        """Returns one row for each pending change, for the metrics page."""
         now_us = self.host.now()
         return [pending.table(now_us) for pending in self.pending.values()]
 
     def stop(self) -> None:
-        """The process ends: nothing is requested or pending any more."""
+        """Cancels all requests and pending changes, because the process ends."""
         for pending in self.pending.values():
             pending.cancel_timer()
         for approval_round in self.rounds:
--- a/loadbalancer/node/features/core_feature.py
+++ b/loadbalancer/node/features/core_feature.py
@@ -1,7 +1,7 @@
-"""Base of the features that belong to the node itself: the membership, spreading, zones and storms.
+"""Base class of the core features: membership, weight spreading, zone failover and retry storms.
 
-Unlike other features they know the node behind their host. Each hosts one state machine, and is imported only
-where the operators' file has its table.
+Unlike other features, core features access the node directly, not only through their host. Each runs one
+state machine, and its module is imported only where the operator configuration has its table.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
     """A feature with access to the node.
 
     Attributes:
-        host: The node's feature host, once started.
-        node: The node, once started.
+        host: The node's feature host; set by `start`.
+        node: The node; set by `start`.
     """
 
     host: NodeFeatureHost
     node: Node
 
     def start(self, host: FeatureHost) -> None:
-        """Notes the host and its node, then calls `on_start`."""
+        """Stores the host and its node, then calls `on_start`."""
         assert isinstance(host, NodeFeatureHost)
         self.host, self.node = host, host.node
         self.on_start()
 
     def on_start(self) -> None:
-        """The feature's own start, once the node is known."""
+        """Starts the feature; `host` and `node` are set. Subclasses override it."""
--- a/loadbalancer/node/features/feature.py
+++ b/loadbalancer/node/features/feature.py
@@ -1,12 +1,12 @@
-"""The interface between the node and its optional features: what a feature is told, and what the node offers.
+"""The interface between the node and its optional features: the events they receive, the services they use.
 
-A feature is off unless the operators' file has its table; then the feature host makes it from `registry.py`
-and tells it of what happens. A feature decides nothing itself: it hosts a pure state machine. A further
-feature changes no line of the node. Where `policy_limits.peers` is false, features that talk to other nodes
-are not even imported.
+A feature is off unless the operator configuration has its table. The feature host creates it from the entry
+in `registry.py` and passes the node's events to it. A feature makes no decisions itself: it runs a pure state
+machine. Adding a feature needs no change to the node. Where `policy_limits.peers` is false, features that
+communicate with other nodes are not even imported.
 
-Order of calls: `start`, then any of the others on the node's loop, then `stop` once. A feature that raises is
-stopped and named in the log; the node goes on without it.
+Order of calls: `start`, then any of the other methods on the node's event loop, then `stop` once. A feature
+that raises an exception is stopped and named in the log; the node continues without it.
 """
 
 from __future__ import annotations
@@ -47,30 +47,31 @@
     "VersionSource",
 ]
 
-# A page of the admin server: whether all is well, and its table.
+# A page of the admin server: returns whether the feature is healthy, and the page's table.
 AdminPage = Callable[[], tuple[bool, dict[str, Any]]]
-# A command of the admin server: the query's values in, HTTP status and table out.
+# A command of the admin server: maps the values of the query string to an HTTP status and a table.
 OperatorCommand = Callable[[dict[str, str]], tuple[int, dict[str, Any]]]
 
 
 class FeatureError(LoadBalancerError):
-    """A part wants what this node cannot offer; the part is stopped and the node serves on."""
+    """A feature needs something that this node does not have; it is stopped, and the node keeps serving."""
 
     code: ClassVar[str] = "PartError"
     remedy: ClassVar[str] = (
-        "give the operators' file the table that the part needs (the line names it), then send SIGHUP; or"
-        " take the part's own table out"
+        "add the table that the feature needs (this message names it) to the operators' file, then send"
+        " SIGHUP; or remove the feature's own table"
     )
 
 
 class VersionSource(Enum):
-    """What a version is of; the values are published.
+    """The kind of state that a version identifies. The values are published.
 
     Attributes:
-        LIST: Discovery's endpoint list; the origin names the discovery, whose numbers count from its start.
-        SETTINGS: The platform's file: count of reloads, digest of the content.
-        OPERATION: The operators' file: the same.
-        PROGRAM: This program.
+        LIST: The endpoint list from discovery. The origin names the discovery service, which numbers its
+            versions from its own start.
+        SETTINGS: The platform's settings file: number of reloads, digest of the content.
+        OPERATION: The operator configuration: number of reloads, digest of the content.
+        PROGRAM: The version of this program.
         MEMBERS: The live members, as this node sees them.
         TERM: The term of the change-freeze coordinator.
     """
@@ -85,13 +86,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """One version of something that a node acts on.
+    """One version of a list, file or other state that a node acts on.
 
     Attributes:
-        source: What it is a version of.
-        origin: Where its numbers count: the discovery's address, a file's name.
-        number: Its number there.
-        digest: Of the content, 16 hex digits: two nodes with one number and two digests have diverged.
+        source: The kind of state.
+        origin: Who assigns the number: the address of discovery, the name of a file.
+        number: The version number that the origin assigned.
+        digest: Digest of the content, 16 hex digits. Two nodes with the same number and different digests
+            have diverged.
     """
 
     source: VersionSource
@@ -105,9 +107,9 @@
     """An update of the endpoint list, as discovery sent it.
 
     Attributes:
-        version: The version that it leads to.
-        kind: Whether the lines are the whole list or changes.
-        lines: The endpoints that it names.
+        version: The version of the list after this update.
+        kind: Whether the lines are the complete list or only changes.
+        lines: The endpoints in the update.
         more: Whether further parts of a long list follow.
     """
 
@@ -119,15 +121,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """One attempt that has ended.
+    """One completed attempt at a request.
 
     Attributes:
         server: The server's name in the endpoint list.
         class_name: Name of the request class.
-        outcome: How it ended.
-        started_at_us: When it began, in microseconds by `FeatureHost.now`.
-        ended_at_us: When it ended, by the same clock.
-        cache_hit: Whether the server answered from its cache; None where the response does not tell.
+        outcome: Result of the attempt.
+        started_at_us: Start time in microseconds, on the clock of `FeatureHost.now`.
+        ended_at_us: End time in microseconds, on the same clock.
+        cache_hit: Whether the server answered from its cache; None where the response does not show it.
         shard_key: The request's shard key; None where shards are off.
     """
 
@@ -141,7 +143,7 @@
 
 
 class FeatureHost(Protocol):
-    """What the node offers to its features.
+    """The services that the node offers to its features.
 
     Attributes:
         name: The node's name.
@@ -152,97 +154,103 @@
     loop: asyncio.AbstractEventLoop
 
     def now(self) -> int:
-        """Monotonic time in microseconds."""
+        """Returns the monotonic time in microseconds."""
 
     def wall_clock(self) -> int:
-        """Unix time in microseconds: for people, never for decisions."""
+        """Returns the Unix time in microseconds, for display only: decisions never depend on it."""
 
     def seed(self) -> int:
-        """Seed of a feature's own random source."""
+        """Returns the seed for a feature's own random number generator."""
 
     def log_event(self, event: str, **fields: Any) -> None:
-        """Writes one structured line (JSON) to the log, which is limited per second."""
+        """Writes one structured line (JSON) to the log, whose rate of lines per second is limited."""
 
     def operator_config(self) -> OperatorConfig:
-        """The operator configuration in force."""
+        """Returns the operator configuration in force."""
 
     def live_members(self) -> list[str]:
-        """Names of the live members, this node included; this node alone without a membership."""
+        """Returns the names of the live members, this node included; without a membership only this node."""
 
     def cell_members(self) -> list[str]:
-        """Names of the live members whose records come here, this node included.
+        """Returns the names of the live members whose records this node receives, this node included.
 
-        Quorums over records go by them. Without `[cells]` they are all live members.
+        Quorums over records count these members. Without `[cells]` they are all live members.
         """
 
     def member_address(self, name: str) -> Address | None:
-        """Where a member receives datagrams; None if it is not known."""
+        """Returns the address at which a member receives datagrams; None if it is unknown."""
 
     def channel(self, tag: int, received: DatagramReceiver) -> Transport:
         """Opens a transport to the same feature of other members, on the membership's port.
 
         Args:
-            tag: 1 to 127, one for each feature.
-            received: Called with each datagram.
+            tag: Tag of the channel, 1 to 127; each feature has its own.
+            received: Called with each datagram and its source address.
 
         Raises:
             FeatureError: There is no membership.
         """
 
     def records(self) -> Records:
-        """The records that are replicated among the members of `cell_members`.
+        """Returns the records that are replicated among the members of `cell_members`.
 
         Raises:
             FeatureError: There is no membership.
         """
 
     def store(self) -> Store:
-        """The node's store, as `[store]` configures it; in memory without that table.
+        """Returns the node's store, as `[store]` configures it; an in-memory store without that table.
 
         Raises:
-            StoreError: It cannot be opened, or another process has it.
+            StoreError: The store cannot be opened, or another process has locked it.
         """
 
     def request_change(
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
-        """Asks all features whether a change may happen.
+        """Asks all features whether a change may be made.
 
         Args:
-            change: Its kind.
-            scope: Empty for all, or `tier=`, `region=`, `zone=`, `server=`, `class=`, joined by commas.
-                The node's name stands for its tier and zone: a change of this node alone.
-            then: Called once, with the first rejection or an approval.
+            change: Kind of the change.
+            scope: What the change affects: empty for everything, or `tier=`, `region=`, `zone=`, `server=`,
+                `class=`, joined by commas. The node's name is replaced by its tier and zone: the scope of a
+                change that affects this node only.
+            then: Called once, with the first rejection, or with an approval if no feature rejects.
         """
 
     def announce_version(self, version: Version) -> None:
-        """Tells all features of a version that this feature has the node act on, such as a term."""
+        """Notifies all features of a version that this feature makes the node act on, such as a term."""
 
     def fetch_endpoint_list(self) -> None:
-        """Has this node poll its discovery at once, for the whole list."""
+        """Makes this node poll its discovery immediately, for the complete list."""
 
     def merge_endpoint_lines(self, lines: tuple[Line, ...]) -> None:
         """Applies endpoint lines that peers hold, in the safe direction.
 
-        Draining and departed endpoints count at once, unknown ones are taken up as warming up. What this
-        node's own discovery has sent is never undone.
+        Draining and departed endpoints take effect at once; unknown endpoints are added and go through slow
+        start. Nothing that this node's own discovery has sent is ever undone.
         """
 
-    def set_quarantined(self, out: bool, why: str) -> None:
-        """Sets whether the node is quarantined: `/ready` says no, and what is taken is finished."""
+    def set_quarantined(self, quarantined: bool, reason: str) -> None:
+        """Sets whether the node is quarantined: `/ready` reports unready, and accepted calls are finished.
+
+        Args:
+            quarantined: Whether the quarantine starts or ends.
+            reason: Why, for the log and `/ready`.
+        """
 
 
 class Feature:
-    """Base of all features: does nothing. Features override what they need.
+    """Base class of all features, whose methods do nothing. Features override the methods they need.
 
-    What nobody overrides costs nothing: the host finds out by `overrides`.
+    A method that no feature overrides costs nothing: the host checks with `overrides` before it calls.
 
     Attributes:
-        name: The table in the operators' file, and the key of the figures.
-        tag: The tag of its channel, if it has one.
-        needs_peers: Whether it talks to other nodes.
-        key_of: Finds a request's shard key; of one feature at most.
-        hit_of: Finds whether a response came from a cache; of one feature at most.
+        name: The feature's table in the operator configuration, and its key in the metrics.
+        tag: The tag of its channel; 0 if it has none.
+        needs_peers: Whether it communicates with other nodes.
+        key_of: Returns a request's shard key; at most one feature sets it.
+        hit_of: Returns whether a response came from a cache; at most one feature sets it.
     """
 
     name = ""
@@ -252,53 +260,65 @@
     hit_of: Callable[[Reply], bool | None] | None = None
 
     def start(self, host: FeatureHost) -> None:
-        """Starts. The host stays the same until `stop`."""
+        """Starts the feature. The host stays the same until `stop`."""
 
     def stop(self, graceful: bool) -> None:
-        """Stops; without `graceful` not one more datagram goes out."""
+        """Stops the feature; unless `graceful` is set, it must not send any further datagram."""
 
-    def reload(self, operation: OperatorConfig) -> None:
-        """The operator configuration has changed, and still has this feature's table."""
+    def reload(self, operator_config: OperatorConfig) -> None:
+        """Called when the operator configuration has changed and still has this feature's table."""
 
     def on_members_changed(self) -> None:
-        """A member's state has changed."""
+        """Called when the state of a member has changed."""
 
     def on_version(self, version: Version) -> None:
-        """The node acts on this version from now on."""
+        """Called when the node starts to act on a version."""
 
     def on_list_update(self, update: ListUpdate) -> None:
-        """Discovery has sent an update of the endpoint list; called before the first attempt under it."""
+        """Called for each endpoint list update from discovery, before the first attempt that uses it."""
 
     def on_attempt_end(self, end: AttemptEnd) -> None:
-        """An attempt has ended. On the request path: it must take microseconds."""
+        """Called when an attempt has ended, on the request path: it must return within microseconds."""
 
     def on_change_requested(
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
-        """Another feature or the node wants to make a change; `then` must be called once, now or later."""
+        """Called when the node or another feature asks for approval of a change.
+
+        Args:
+            change: Kind of the change.
+            scope: What it affects, as in `FeatureHost.request_change`.
+            then: Must be called exactly once with the answer, immediately or later.
+        """
         then(ALLOWED)
 
     def on_change_made(
         self, change: Change, scope: str, grant: StateVersion | None
     ) -> None:
-        """The node has made a change of its own, under this fencing token where one was given."""
+        """Called when the node has made one of its own changes.
+
+        Args:
+            change: Kind of the change.
+            scope: What it affects.
+            grant: The fencing token under which it was approved; None if none was granted.
+        """
 
     def metrics(self) -> dict[str, Any] | None:
-        """The feature's table for `/admin/stats`."""
+        """Returns the feature's table for `/admin/stats`; None if it has none."""
         return None
 
     def pages(self) -> dict[str, AdminPage]:
-        """Pages of the admin server, by path."""
+        """Returns the feature's pages for the admin server, by path."""
         return {}
 
     def commands(self) -> dict[str, OperatorCommand]:
-        """What operators may POST to the admin server, by path.
+        """Returns the commands that operators may POST to the admin server, by path.
 
-        A `LoadBalancerError` that a command raises is answered with 409 and the error's table.
+        If a command raises a `LoadBalancerError`, the response is 409 with the error's table.
         """
         return {}
 
 
 def overrides(feature: Feature, method: str) -> bool:
-    """Whether a feature's class overrides this method of `Feature`."""
+    """Returns whether a feature's class overrides this method of `Feature`."""
     return getattr(type(feature), method) is not getattr(Feature, method)
--- a/loadbalancer/node/features/feature_admin.py
+++ b/loadbalancer/node/features/feature_admin.py
@@ -1,4 +1,4 @@
-"""The features' side of the admin server: their pages, commands and figures."""
+"""The features' part of the admin server: their pages, commands and metrics."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class FeatureAdmin:
-    """Shows operators what features offer."""
+    """Publishes the features' pages, commands and metrics to operators."""
 
     def __init__(self, host: NodeFeatureHost) -> None:
         self.host = host
 
     def publish(self, feature: Feature) -> None:
-        """Has the admin server answer a feature's pages and commands."""
+        """Registers a feature's pages and commands with the admin server, if the node has one."""
         server = self.host.node.control
         if server is None:
             return
@@ -28,7 +28,7 @@
             server.set_command(path, command)
 
     def withdraw(self, feature: Feature) -> None:
-        """Takes a feature's pages and commands out of the admin server."""
+        """Removes a feature's pages and commands from the admin server."""
         server = self.host.node.control
         if server is None:
             return
@@ -38,24 +38,27 @@
             server.set_command(path, None)
 
     def metrics(self) -> dict[str, Any]:
-        """The features' tables for `/admin/stats`, and those of the host."""
-        found: dict[str, Any] = {}
+        """Returns the tables for `/admin/stats`: those of the features, and those of the host.
+
+        A feature whose `metrics` raises is stopped and left out.
+        """
+        tables: dict[str, Any] = {}
         for table, feature in list(self.host.features.items()):
             try:
-                figures = feature.metrics()
+                feature_table = feature.metrics()
             except Exception as error:
                 self.host.fail(feature, error_line(error))
                 continue
-            if figures is not None:
-                found[table] = figures
+            if feature_table is not None:
+                tables[table] = feature_table
         sent = self.host.sent()
         if sent:
-            found["channels"] = {
-                table: {"sent": datagrams.count, "sent_bytes": datagrams.size}
+            tables["channels"] = {
+                table: {"sent": datagrams.count, "sent_bytes": datagrams.size_bytes}
                 for table, datagrams in sent.items()
             }
         if self.host.change_approval.pending:
-            found["waiting"] = self.host.change_approval.table()
+            tables["waiting"] = self.host.change_approval.table()
         if self.host.failed:
-            found["stopped_parts"] = sorted(self.host.failed)
-        return found
+            tables["stopped_parts"] = sorted(self.host.failed)
+        return tables
--- a/loadbalancer/node/features/guarded_calls.py
+++ b/loadbalancer/node/features/guarded_calls.py
@@ -1,4 +1,4 @@
-"""Calls into features: one that raises is reported, and the node goes on."""
+"""Calls into features: an exception is reported to the feature host and does not reach the node."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 class GuardedCalls:
     """Calls features for the host.
 
-    Failure prevented: a mistake in what is there to watch the fleet takes the node out of it.
+    Failure prevented: a bug in a feature, which only observes the fleet, takes the node out of service.
 
     Args:
-        on_error: Called with a feature that raised and with the error in one line.
+        on_error: Called with the feature that raised and with the error as one line of text.
     """
 
     def __init__(self, on_error: Callable[[Feature, str], None]) -> None:
         self._on_error = on_error
 
     def run(self, feature: Feature, callback: Callable[..., None], *args: Any) -> None:
-        """Calls a feature with these arguments."""
+        """Calls a feature's callback with these arguments; an exception goes to `on_error`."""
         try:
             callback(*args)
         except Exception as error:
@@ -34,7 +34,13 @@
     def wrap(
         self, feature: Feature, callback: Callable[P, R], fallback: R
     ) -> Callable[P, R]:
-        """Makes a callback safe for the request path; `fallback` is the result of one that raises."""
+        """Wraps a feature's callback for the request path.
+
+        Args:
+            feature: The feature that the callback belongs to.
+            callback: The function to wrap.
+            fallback: The result of a call in which the callback raises.
+        """
 
         def guarded(*args: P.args, **kwargs: P.kwargs) -> R:
             try:
@@ -47,7 +53,7 @@
 
 
 def error_line(error: Exception) -> str:
-    """An exception in one line, with the remedy where it knows one."""
+    """Formats an exception as one line of text; a `LoadBalancerError` includes its remedy."""
     if isinstance(error, LoadBalancerError):
         return error.line()
     return f"{type(error).__name__}: {error}"
--- a/loadbalancer/node/features/host.py
+++ b/loadbalancer/node/features/host.py
@@ -1,14 +1,14 @@
-"""The node's host of its features: what the node calls, and what features are offered (`FeatureHost`).
+"""The feature host: the interface that the node calls, and the services for features (`FeatureHost`).
 
-Imported only where there is an operators' file. The work is done by its parts:
+Imported only where there is an operator configuration. It delegates to these modules:
 
     lifecycle           starts, reloads and stops features
-    guarded_calls       keeps errors of a feature from the node
+    guarded_calls       keeps exceptions of a feature away from the node
     resources           channels, records and the store that features share
-    node_events         endpoint lists and ends of attempts, passed on to features
-    version_announcer   versions that the node acts on
-    change_approval     changes that features may hold up
-    feature_admin       pages, commands and figures
+    node_events         passes endpoint list updates and ended attempts to features
+    version_announcer   announces the versions that the node acts on
+    change_approval     changes that features may defer
+    feature_admin       pages, commands and metrics
 """
 
 from __future__ import annotations
@@ -38,29 +38,38 @@
     from loadbalancer.node.node import Node
 
 NS_PER_US = 1_000
-# In the log line where a feature gives no reason.
-DEFAULT_QUARANTINE_REASON = "a part's word"
+# Logged where a feature gives no reason for a quarantine.
+DEFAULT_QUARANTINE_REASON = "requested by a feature without a reason"
 
 P = ParamSpec("P")
 R = TypeVar("R")
 
 
 class NodeFeatureHost:
-    """The features of one node, and their `FeatureHost`.
+    """Runs the features of one node and implements `FeatureHost` for them.
 
     Attributes:
+        node: The node that the host belongs to.
         name: The node's name.
-        members: The membership, set by its feature while it runs.
-        ending: The process ends: what features have set up may stay.
-        quarantine_reason: Why `/ready` says no at a feature's request; empty while it does not.
-        on_approvers_changed: Called when other features than before may have a say in changes.
+        loop: The node's event loop.
+        members: The membership, set by its feature while that runs; else None.
+        ending: Whether the process is stopping: features need not undo what they have set up in the node.
+        quarantine_reason: Why a feature has quarantined the node; empty while it is not quarantined.
+        on_approvers_changed: Called when the set of features that approve changes may have changed.
+        lifecycle: Starts, reloads and stops the features.
+        calls: Calls features so that their exceptions do not reach the node.
+        resources: Channels, records and the store that features share.
+        events: Passes the node's events to the features.
+        versions: Announces versions to the features.
+        change_approval: Asks the features to approve changes.
+        admin: Pages, commands and metrics of the features.
     """
 
     def __init__(self, node: Node) -> None:
-        """Makes a host without a feature.
+        """Creates a host without any feature.
 
         Args:
-            node: The node that it belongs to.
+            node: The node that the host belongs to.
         """
         self.node = node
         self.name = node.config.name
@@ -76,12 +85,12 @@
         self.versions = VersionAnnouncer(self)
         self.change_approval = ChangeApproval(self)
         self.admin = FeatureAdmin(self)
-        self._log: Any = None  # made for the first event
+        self._log: Any = None  # created at the first event
 
     # ---- called by the node ----------------------------------------------------------------------------
 
     def reconcile(self, operator_config: OperatorConfig | None) -> None:
-        """Starts, reloads and stops features, as the operators configure and the platform allows."""
+        """Starts, reloads and stops features to match the operators' and the platform's configuration."""
         is_changed = operator_config != self.lifecycle.operator_config
         self.lifecycle.reconcile(operator_config)
         self.events.update_followers()
@@ -90,22 +99,22 @@
             self.versions.announce_operator_config(operator_config)
 
     def reload(self, config: Config, operator_config: OperatorConfig | None) -> None:
-        """Has the node adopt other files as soon as no feature has anything against it."""
+        """Makes the node adopt a new configuration as soon as all features approve."""
         self.change_approval.apply_when_approved(
             "reload",
             self._reload_changes(config, operator_config),
             lambda: self.node.adopt(config, operator_config),
             self.scope(),
-            stays="the old configuration stays, a further SIGHUP takes this one's place",
+            meanwhile="the old configuration stays in force; a further SIGHUP replaces this reload",
         )
 
     def _reload_changes(
         self, config: Config, operator_config: OperatorConfig | None
     ) -> tuple[Change, ...]:
-        """The kinds of change that a reload makes and that features may hold up."""
+        """Returns the kinds of change that a reload makes and that features have to approve."""
         current = self.node.config
         if current.settings.peers and not config.settings.peers:
-            return ()  # the platform forbids the messages by which it would be agreed
+            return ()  # the new settings forbid the messages that an approval would need
         changes = []
         if any(
             getattr(config, name) != getattr(current, name) for name in RELOADED_FIELDS
@@ -116,66 +125,76 @@
         return tuple(changes)
 
     def stop(self, graceful: bool) -> None:
-        """The process ends; without `graceful` not one more datagram goes out."""
+        """Stops all features at the end of the process; unless `graceful`, no further datagram is sent."""
         self.ending = True
         self.lifecycle.cancel_retry()
         self.change_approval.stop()
         self.lifecycle.stop_all(graceful)
 
     def on_list_update(self, listing: Listing, more: bool) -> Listing:
-        """An update that discovery has sent, before the node takes it up; returns it with peers' lines."""
+        """Handles an update before the node applies it; returns it with the lines from peers merged in.
+
+        Args:
+            listing: The update.
+            more: Whether further parts of a long list follow.
+        """
         return self.events.on_list_update(listing, more)
 
     def on_list_applied(self) -> None:
-        """The node has taken up an update of the endpoint list."""
+        """Called when the node has applied an update of the endpoint list."""
         self.events.on_list_applied()
 
     def on_members_changed(self) -> None:
-        """A member's state has changed."""
+        """Called when the state of a member has changed."""
         for feature in list(self.features.values()):
             self.run_guarded(feature, feature.on_members_changed)
         self.versions.announce_members()
 
     def metrics(self) -> dict[str, Any]:
-        """The features' tables for `/admin/stats`."""
+        """Returns the features' tables for `/admin/stats`."""
         return self.admin.metrics()
 
-    # ---- for the node's own features and the parts of this host ----------------------------------------
+    # ---- for the node's core features and the helper objects of this host ------------------------------
 
     @property
     def features(self) -> dict[str, Feature]:
-        """The running features by table, in the order of their start."""
+        """The running features by table, in the order in which they were started."""
         return self.lifecycle.features
 
     @property
     def failed(self) -> set[str]:
-        """Tables of the features that were stopped for an error."""
+        """Tables of the features that were stopped because of an error."""
         return self.lifecycle.failed
 
     def run_guarded(
         self, feature: Feature, callback: Callable[..., None], *args: Any
     ) -> None:
-        """Calls a feature; one that raises is stopped and named in the log."""
+        """Calls a feature; if the callback raises, the feature is stopped and named in the log."""
         self.calls.run(feature, callback, *args)
 
     def guarded(
         self, feature: Feature, callback: Callable[P, R], fallback: R
     ) -> Callable[P, R]:
-        """A feature's callback for the request path; one that raises stops the feature.
+        """Wraps a feature's callback for the request path; if it raises, the feature is stopped.
 
         Args:
-            feature: Whose callback it is.
-            callback: What is to be called.
-            fallback: The result if it raises.
+            feature: The feature that the callback belongs to.
+            callback: The function to wrap.
+            fallback: The result of a call in which the callback raises.
         """
         return self.calls.wrap(feature, callback, fallback)
 
     def fail(self, feature: Feature, reason: str) -> None:
-        """Stops a feature for an error; the next SIGHUP starts it again."""
+        """Stops a feature because of an error; the next SIGHUP starts it again.
+
+        Args:
+            feature: The feature.
+            reason: The error, for the log.
+        """
         self.lifecycle.fail(feature, reason)
 
     def sent(self) -> dict[str, SentDatagrams]:
-        """What features have sent on channels of their own, by table."""
+        """Returns the traffic that features have sent on their own channels, by table."""
         return self.resources.sent()
 
     def line(self, text: str) -> None:
@@ -183,7 +202,7 @@
         self.node.log_lines.line(text)
 
     def zone(self) -> str:
-        """The name of this node's zone; empty if it has none."""
+        """Returns the name of this node's zone; empty if the zone has no name."""
         own = self.node.settings.zone
         for name, number in self.node.zones.items():
             if number == own:
@@ -191,65 +210,69 @@
         return ""
 
     def scope(self) -> str:
-        """The scope of a change of this node alone: its tier, and its zone if that has a name."""
+        """Returns the scope of a change of this node only: its tier, and its zone if that has a name."""
         tier, zone = f"tier={self.node.settings.tier}", self.zone()
         return f"{tier},zone={zone}" if zone else tier
 
     def discovery_origin(self) -> str:
-        """The discovery whose list versions count, `host:port`."""
+        """Returns the discovery service that numbers the list versions, as `host:port`."""
         return "{}:{}".format(*self.node.discovery.address)
 
     def end_quarantine(self) -> None:
-        """Lets the node be ready again, if a feature has quarantined it."""
+        """Makes the node ready again, if a feature has quarantined it."""
         if self.quarantine_reason:
             self.set_quarantined(False, "")
 
     # ---- offered to features (`FeatureHost`) -----------------------------------------------------------
 
     def now(self) -> int:
-        """Monotonic time in microseconds."""
+        """Returns the monotonic time in microseconds."""
         return monotonic_ns() // NS_PER_US
 
     def wall_clock(self) -> int:
-        """Unix time in microseconds: for people, never for decisions."""
+        """Returns the Unix time in microseconds, for display only: decisions never depend on it."""
         return time_ns() // NS_PER_US
 
     def seed(self) -> int:
-        """Seed of a feature's own random source."""
+        """Returns the seed for a feature's own random number generator."""
         return self.node.config.seed
 
     def log_event(self, event: str, **fields: Any) -> None:
         """Writes one structured line to the log."""
         if self._log is None:
-            # Imported here: a node whose features log nothing does not need it.
+            # Imported here: a node whose features log no event does not need it.
             from loadbalancer.node.features.membership_host import json_logger
 
             self._log = json_logger(self.name)
         self._log.info(event, **fields)
 
     def operator_config(self) -> OperatorConfig:
-        """The operator configuration in force."""
+        """Returns the operator configuration in force."""
         return self.lifecycle.operator_config or NO_TABLES
 
     def live_members(self) -> list[str]:
-        """Names of the live members, this node included; this node alone without a membership."""
+        """Returns the names of the live members, this node included; without a membership only this node."""
         names = self.members.live_names() if self.members is not None else []
         return names or [self.name]
 
     def cell_members(self) -> list[str]:
-        """Names of the live members whose records come here, this node included."""
+        """Returns the names of the live members whose records this node receives, this node included."""
         if self.members is None or self.members.layout is None:
             return self.live_members()
         return self.members.cell_names() or [self.name]
 
     def member_address(self, name: str) -> Address | None:
-        """Where a member receives datagrams; None if it is not known."""
+        """Returns the address at which a member receives datagrams; None if it is unknown."""
         swim = self.members.swim if self.members is not None else None
         member = swim.members.get(name) if swim is not None else None
         return (member.host, member.port) if member is not None else None
 
     def channel(self, tag: int, received: DatagramReceiver) -> Transport:
-        """Opens a transport on the membership's port, which ends with the membership.
+        """Opens a transport on the membership's port, which is closed when the membership stops.
+
+        Args:
+            tag: Tag of the channel, 1 to 127.
+            received: Called with each datagram and its source address.
 
         Raises:
             FeatureError: There is no membership.
@@ -257,7 +280,7 @@
         return self.resources.channel(tag, received)
 
     def records(self) -> Records:
-        """The replicated records, which end with the membership.
+        """Returns the replicated records, which become unusable when the membership stops.
 
         Raises:
             FeatureError: There is no membership.
@@ -265,29 +288,31 @@
         return self.resources.records()
 
     def store(self) -> Store:
-        """The node's store.
+        """Returns the node's store.
 
         Raises:
-            StoreError: It cannot be opened, or another process has it.
+            StoreError: The store cannot be opened, or another process has locked it.
         """
         return self.resources.store()
 
     def request_change(
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
-        """Asks all features whether a change may happen; `then` is called once."""
-        own_scope = scope == self.name
-        self.change_approval.request(change, self.scope() if own_scope else scope, then)
+        """Asks all features whether a change may be made; `then` is called once with the answer."""
+        is_own_node = scope == self.name
+        self.change_approval.request(
+            change, self.scope() if is_own_node else scope, then
+        )
 
     def announce_version(self, version: Version) -> None:
-        """Tells all features of a version that the node acts on, if it is another one than before."""
+        """Notifies all features of a version that the node acts on, if it differs from the previous one."""
         self.versions.announce(version)
 
     def fetch_endpoint_list(self) -> None:
-        """Has this node poll its discovery at once.
+        """Makes this node poll its discovery immediately.
 
-        It asks for the whole list, since the content may differ under one number, and for a poll, since the
-        watch may be the fault.
+        It requests the complete list, since the content may differ under the same version number, and polls,
+        since the watch itself may be what has failed.
         """
         self.node.discovery.fetch()
         self.node.discovery.poll_if_due()
@@ -296,20 +321,26 @@
         """Applies endpoint lines that peers hold, in the safe direction."""
         self.events.merge_peer_lines(lines)
 
-    def set_quarantined(self, out: bool, why: str) -> None:
+    def set_quarantined(self, quarantined: bool, reason: str) -> None:
         """Sets whether the node is quarantined.
 
-        What is taken is finished, and no connection outlives its response, so that clients which keep one go
-        elsewhere.
+        A quarantined node finishes the calls that it has accepted and closes each client connection after its
+        response, so that clients with persistent connections move to other nodes.
+
+        Args:
+            quarantined: Whether the quarantine starts or ends.
+            reason: Why, for the log and `/ready`.
         """
-        if out == bool(self.quarantine_reason) or self.ending:
+        if quarantined == bool(self.quarantine_reason) or self.ending:
             return
-        self.quarantine_reason = (why or DEFAULT_QUARANTINE_REASON) if out else ""
+        self.quarantine_reason = (
+            (reason or DEFAULT_QUARANTINE_REASON) if quarantined else ""
+        )
         self.line(
             f"readiness withdrawn reason={self.quarantine_reason}"
-            if out
+            if quarantined
             else "readiness restored"
         )
         listener = self.node.client_listener
         if not listener.draining:
-            listener.closing_after_response = out
+            listener.closing_after_response = quarantined
--- a/loadbalancer/node/features/lifecycle.py
+++ b/loadbalancer/node/features/lifecycle.py
@@ -1,4 +1,4 @@
-"""Starts, reloads and stops features, as the operator configuration has them and the platform allows."""
+"""Starts, reloads and stops features to match the operator configuration and the platform's limits."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 if TYPE_CHECKING:
     from loadbalancer.node.features.host import NodeFeatureHost
 
+# Between two attempts to start the features that wait for the store.
 STORE_RETRY_S = 0.5
-# For so long a feature that waits for the store holds up changes: an upgrade is over by then.
+# A feature that waits for the store defers changes for at most this time; an upgrade is over by then.
 STORE_WAIT_LIMIT_US = 120_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingFeature:
-    """A feature that waits for the store.
+    """A feature that cannot start until the store can be opened.
 
     Attributes:
-        since_us: When it began to wait, in monotonic microseconds.
-        is_approver: Whether it has a say in changes.
+        since_us: Start of the wait, in monotonic microseconds.
+        is_approver: Whether changes need its approval.
     """
 
     since_us: int
@@ -36,14 +37,15 @@
 
 
 class FeatureLifecycle:
-    """Which features of one node run.
+    """Controls which features of one node run.
 
     Attributes:
-        features: The running ones by table, in the order of their start.
-        failed: Tables of those that were stopped for an error.
-        operator_config: The configuration that they go by; None without an operators' file.
-        is_reconciling: Features are being started and stopped.
-        starting_table: The table of the feature that starts just now; else empty.
+        host: The feature host of the node.
+        features: The running features by table, in the order in which they were started.
+        failed: Tables of the features that were stopped because of an error.
+        operator_config: The operator configuration in force; None if the node has none.
+        is_reconciling: Whether `reconcile` is starting and stopping features.
+        starting_table: The table of the feature that is being started; empty at other times.
     """
 
     def __init__(self, host: NodeFeatureHost) -> None:
@@ -53,13 +55,13 @@
         self.operator_config: OperatorConfig | None = None
         self.is_reconciling = False
         self.starting_table = ""
-        self._waiting: dict[str, WaitingFeature] = {}  # for the store, by table
+        self._waiting: dict[str, WaitingFeature] = {}  # by table
         self._retry_timer: asyncio.TimerHandle | None = None
 
     # ---- the operator configuration --------------------------------------------------------------------
 
     def reconcile(self, operator_config: OperatorConfig | None) -> None:
-        """Starts, reloads and stops features for a configuration, the same or another one."""
+        """Starts, reloads and stops features to match a configuration, which may be the current one."""
         peers_allowed = self.host.node.config.settings.peers
         previous, self.operator_config = self.operator_config, operator_config
         available = self._available_entries(peers_allowed)
@@ -74,7 +76,8 @@
             for table, waiting in self._waiting.items()
             if table in tables
         }
-        # What restarted features have been told holds for those that follow them.
+        # Followers are updated once, after all restarts: otherwise the host would drop the versions and the
+        # endpoint list that it knows whenever the last follower is restarted.
         self.is_reconciling = True
         for table in reversed(list(self.features)):
             if table not in tables:
@@ -93,7 +96,7 @@
                 self.host.run_guarded(feature, feature.reload, self.operator_config)
 
     def _available_entries(self, peers_allowed: bool) -> list[FeatureEntry]:
-        """The features that are configured and have what they need."""
+        """Returns the entries of the features that are configured and whose requirements are met."""
         available: list[FeatureEntry] = []
         for entry in registry.FEATURES:
             if not entry.is_configured(self.operator_config):
@@ -106,7 +109,7 @@
     def _has_requirements(
         self, entry: FeatureEntry, peers_allowed: bool, available_tables: set[str]
     ) -> bool:
-        """Whether a feature has what it needs; if not, the log says why."""
+        """Returns whether the requirements of a feature are met; if not, logs why."""
         if entry.needs_peers and not peers_allowed:
             self.host.line(
                 f"feature disabled name={entry.table} reason=the platform's policy_limits.peers is false"
@@ -115,7 +118,7 @@
         required = entry.required_table
         if not required or required in available_tables:
             return True
-        # A required feature that is configured and not available has its own line.
+        # If the required feature is configured but not available, the log already has a line about it.
         if getattr(self.operator_config, required, None) is None:
             self.host.line(
                 f"feature disabled name={entry.table} reason=it needs [{required}], which is off"
@@ -123,10 +126,10 @@
         return False
 
     def _outdated_tables(self, previous: OperatorConfig | None) -> set[str]:
-        """Tables of the features that have to be restarted.
+        """Returns the tables of the features that have to be restarted.
 
-        They are those that ask for it and whose table has changed or that have failed, and those that build
-        on the membership's port or the store where that is another one from now on.
+        These are the features with `restart_on_change` whose table has changed or which do not run, and the
+        features that depend on the membership's port or the store, where that is replaced.
         """
         restarting = {
             entry.table for entry in registry.FEATURES if entry.restart_on_change
@@ -147,7 +150,7 @@
             feature = entry.create()
         except (
             Exception
-        ) as error:  # the node serves, even if a module cannot be imported
+        ) as error:  # the node keeps serving, even if a module cannot be imported
             self.failed.add(entry.table)
             self.host.line(
                 f"feature start failed name={entry.table} reason={error_line(error)}"
@@ -169,17 +172,17 @@
             self._introduce(feature)
 
     def _introduce(self, feature: Feature) -> None:
-        """Shows a feature to operators, and tells it what is in force."""
+        """Publishes a feature's pages and commands, and notifies it of the versions in force."""
         self.host.run_guarded(feature, self.host.admin.publish, feature)
         for version in self.host.versions.in_force.values():
             self.host.run_guarded(feature, feature.on_version, version)
         if overrides(feature, "on_list_update") and self.host.node.listed is not None:
-            self.host.fetch_endpoint_list()  # it was not told of the list in force
+            self.host.fetch_endpoint_list()  # it has not received the list in force
 
     def _wait_for_store(self, table: str, feature: Feature, error: StoreError) -> None:
-        """Starts a feature again once the store can be had; the node serves meanwhile.
+        """Schedules another start of a feature whose store is not available; the node serves meanwhile.
 
-        In an upgrade the process before this one has the store until its SIGTERM.
+        In an upgrade the previous process keeps the store locked until its SIGTERM.
         """
         if table not in self._waiting:
             self.host.line(f"feature start deferred name={table} reason={error.line()}")
@@ -199,10 +202,10 @@
         self.host.events.update_followers()
 
     def waiting_approver(self) -> str:
-        """The table of a feature that has a say in changes and waits for the store; empty if there is none.
+        """Returns the table of an approver that waits for the store; empty if there is none.
 
-        Failure prevented: in an upgrade the new process of an elector makes the changes that the freeze holds
-        back. It counts for `STORE_WAIT_LIMIT_US`.
+        Failure prevented: in an upgrade the new process of an elector makes changes that the change freeze
+        defers. A feature is reported for at most `STORE_WAIT_LIMIT_US` after it began to wait.
         """
         since_us = self.host.now() - STORE_WAIT_LIMIT_US
         for table, waiting in self._waiting.items():
@@ -213,13 +216,18 @@
     # ---- stop ------------------------------------------------------------------------------------------
 
     def stop_feature(self, table: str, graceful: bool) -> None:
-        """Stops a feature, if it runs, and closes what it used."""
+        """Stops a feature, if it runs, and closes the channels and the store that it used.
+
+        Args:
+            table: The table of the feature.
+            graceful: Whether the feature may still send datagrams.
+        """
         feature = self.features.pop(table, None)
         if feature is None:
             return
         channels = self.host.resources.release(table)
         if table not in CORE_TABLES:
-            # Failure prevented: the feature that quarantined the node has failed, and nobody ends that.
+            # Failure prevented: the feature that quarantined the node fails, and the quarantine never ends.
             self.host.end_quarantine()
         self.host.change_approval.remove_feature(feature)
         try:
@@ -240,23 +248,23 @@
         self.host.events.update_followers()
 
     def fail(self, feature: Feature, reason: str) -> None:
-        """Stops a feature for an error; the next SIGHUP starts it again."""
+        """Stops a feature because of an error; the next SIGHUP starts it again."""
         for table, running in self.features.items():
             if running is feature:
                 self.failed.add(table)
                 self.host.line(
                     f"feature stopped name={table} reason={reason};"
-                    " the node goes on without it, SIGHUP starts it again"
+                    " the node continues without it, SIGHUP starts it again"
                 )
                 self.stop_feature(table, graceful=False)
                 return
 
     def cancel_retry(self) -> None:
-        """Does not try the store again: the process ends."""
+        """Cancels the next attempt to open the store, because the process ends."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
 
     def stop_all(self, graceful: bool) -> None:
-        """Stops all features, the last one first."""
+        """Stops all features, in the reverse order of their start."""
         for table in reversed(list(self.features)):
             self.stop_feature(table, graceful)
--- a/loadbalancer/node/features/node_events.py
+++ b/loadbalancer/node/features/node_events.py
@@ -1,6 +1,7 @@
-"""What happens in the node, passed on to features: updates of the endpoint list, and ends of attempts.
+"""Passes events of the node to its features: updates of the endpoint list, and ended attempts.
 
-What no feature wants costs nothing: the node gets a callback only while some feature overrides the method.
+Events that no feature follows cost nothing: the node has a callback only while some feature overrides the
+corresponding method.
 """
 
 from __future__ import annotations
@@ -31,14 +32,18 @@
 
 
 class NodeEvents:
-    """Passes the node's events on to its features.
+    """Passes the node's events to its features.
+
+    A follower is a feature that overrides `on_version`, `on_list_update` or `on_attempt_end`.
 
     Attributes:
-        has_followers: Whether some feature follows endpoint lists, versions or attempts.
-        known_endpoints: The endpoint list as discovery and peers sent it, while there are followers.
-        attempt_features: The features that follow attempts.
-        key_of: Finds a request's shard key, if a feature offers that.
-        hit_of: Finds whether a response came from a cache, if a feature offers that.
+        host: The feature host of the node.
+        node: The node.
+        has_followers: Whether any running feature is a follower.
+        known_endpoints: The endpoint list as discovery and peers sent it; kept while there are followers.
+        attempt_features: The features that override `on_attempt_end`.
+        key_of: Returns a request's shard key; None if no feature provides it.
+        hit_of: Returns whether a response came from a cache; None if no feature provides it.
     """
 
     def __init__(self, host: NodeFeatureHost) -> None:
@@ -49,11 +54,11 @@
         self.attempt_features: list[Feature] = []
         self.key_of: Callable[[ClientRequest], bytes | None] | None = None
         self.hit_of: Callable[[Reply], bool | None] | None = None
-        # From the node's clock to that of the features, in microseconds.
+        # Difference between the node's clock and that of the features, in microseconds.
         self._clock_offset_us = host.node.origin // NS_PER_US
 
     def update_followers(self) -> None:
-        """Finds out which of the running features follow what."""
+        """Determines which of the running features follow which events, and connects them to the node."""
         if self.host.lifecycle.is_reconciling:
             return
         running = list(self.host.features.values())
@@ -82,7 +87,7 @@
                 self.hit_of = self.host.guarded(feature, feature.hit_of, None)
 
     def _begin_following(self) -> None:
-        """Announces what is in force, and has the endpoint list sent again: nobody was told of it."""
+        """Announces the versions and requests the endpoint list again: no feature has received them."""
         self.known_endpoints = KnownEndpoints(midway=self.node.named is not None)
         self.host.versions.restart()
         if self.node.listed is not None or self.node.named is not None:
@@ -91,14 +96,14 @@
     # ---- the endpoint list -----------------------------------------------------------------------------
 
     def on_list_update(self, listing: Listing, more: bool) -> Listing:
-        """An update that discovery has sent, before the node takes it up.
+        """Handles an update from discovery before the node applies it.
 
         Args:
             listing: The update.
             more: Whether further parts of a long list follow.
 
         Returns:
-            The update with what peers told put in where it still holds.
+            The update, with the lines from peers merged in where they are still valid.
         """
         if not self.has_followers:
             return listing
@@ -115,7 +120,7 @@
         return amended
 
     def on_list_applied(self) -> None:
-        """The node has taken up an update; peers' lines that waited for its end are merged."""
+        """Called when the node has applied an update; merges peers' lines that were deferred until then."""
         deferred = self.known_endpoints.take_deferred_lines()
         if deferred:
             self.merge_peer_lines(deferred)
@@ -138,7 +143,15 @@
         outcome: Outcome,
         answer: Reply | None,
     ) -> None:
-        """An attempt has ended; on the request path."""
+        """Passes an ended attempt to the features that follow attempts; this is on the request path.
+
+        Args:
+            request: The request that the attempt belongs to.
+            server: Number of the server.
+            started_at_us: Start of the attempt, in microseconds on the node's clock.
+            outcome: Result of the attempt.
+            answer: The server's response; None if there is none.
+        """
         ended_at_us = self.host.now()
         cache_hit = shard_key = None
         if self.hit_of is not None and answer is not None:
--- a/loadbalancer/node/features/registry.py
+++ b/loadbalancer/node/features/registry.py
@@ -1,7 +1,7 @@
-"""Which features there are, and which tables of the operators' file switch them on.
+"""The registry of features, with the tables of the operator configuration that switch them on.
 
-A feature's module is imported only where its table is present and the platform allows what it needs; nothing
-is imported here. A further feature is one entry in `FEATURES` and a table of its own in
+A feature's module is imported only where its table is present and the platform allows what it needs; this
+module imports none of them. To add a feature, add an entry to `FEATURES` and a table to
 `config/operator_config.py`.
 """
 
@@ -16,7 +16,7 @@
     from loadbalancer.node.features.feature import Feature
 
 PACKAGE = "loadbalancer.node.features"
-# Of the features that belong to the node itself: they never quarantine it.
+# Tables of the core features (see `core_feature.py`), which never quarantine the node.
 CORE_TABLES = ("membership", "spread", "zones", "storms")
 
 
@@ -25,11 +25,11 @@
     """One feature that operators may switch on.
 
     Attributes:
-        table: The table of the operators' file that switches it on.
-        location: `module:class`; the class is made without arguments.
-        needs_peers: Whether it talks to other nodes: off where `policy_limits.peers` is false.
-        required_table: The table of a feature that must run before it; empty if none.
-        restart_on_change: Whether it is restarted when its table changes, instead of reloaded.
+        table: The table of the operator configuration that switches the feature on.
+        location: `module:class`; the class is instantiated without arguments.
+        needs_peers: Whether it communicates with other nodes; it is off where `policy_limits.peers` is false.
+        required_table: The table of a feature that must be started before it; empty if there is none.
+        restart_on_change: Whether it is restarted, instead of reloaded, when its table changes.
     """
 
     table: str
@@ -39,17 +39,17 @@
     restart_on_change: bool = False
 
     def is_configured(self, operator_config: OperatorConfig | None) -> bool:
-        """Whether the operator configuration has its table."""
+        """Returns whether the operator configuration has the feature's table."""
         return getattr(operator_config, self.table, None) is not None
 
     def create(self) -> Feature:
-        """Imports the feature and makes one. Whatever the import raises is passed on."""
+        """Imports the feature's module and returns a new instance; errors of the import propagate."""
         module, _, name = self.location.partition(":")
         feature: Feature = getattr(import_module(module), name)()
         return feature
 
 
-# In the order of their start; they are stopped in reverse.
+# In the order in which they are started; they are stopped in the reverse order.
 FEATURES: list[FeatureEntry] = [
     FeatureEntry(
         "membership",
@@ -57,7 +57,7 @@
         needs_peers=True,
         restart_on_change=True,
     ),
-    # The membership keeps records to their cell; this feature reports a cell to the collectors.
+    # The membership confines records to their cell; this feature reports the cell to the collectors.
     FeatureEntry(
         "cells",
         f"{PACKAGE}.cells:CellsFeature",
@@ -81,7 +81,7 @@
     FeatureEntry(
         "forecast", f"{PACKAGE}.forecast:ForecastFeature", required_table="shards"
     ),
-    # Last: it is told what the others know.
+    # Last: it uses the versions and the status records that the other features publish.
     FeatureEntry(
         "freeze",
         f"{PACKAGE}.freeze:FreezeFeature",
--- a/loadbalancer/node/features/resources.py
+++ b/loadbalancer/node/features/resources.py
@@ -1,7 +1,7 @@
-"""What features build on: channels on the membership's port, records, and the node's store.
+"""Resources that features share: channels on the membership's port, records, and the node's store.
 
-The host notes which feature uses what, so that a feature is restarted when its base is another one, and
-closes what a stopped feature has left open.
+The host tracks which feature uses which resource. It restarts a feature whose resource is replaced, and
+closes the resources that a stopped feature has left open.
 """
 
 from __future__ import annotations
@@ -27,33 +27,38 @@
 
 @dataclass(frozen=True, slots=True)
 class SentDatagrams:
-    """What a feature has sent on channels of its own.
+    """Traffic that a feature has sent on its own channels.
 
     Attributes:
-        count: Datagrams.
-        size: Bytes.
+        count: Number of datagrams.
+        size_bytes: Their total size in bytes.
     """
 
     count: int
-    size: int
+    size_bytes: int
 
 
 class FeatureResources:
-    """Opens and closes what the features of one node share.
+    """Opens and closes the resources that the features of one node share.
 
     Attributes:
-        dependencies: By a feature's table, the tables of what it builds on.
-        channels: By a feature's table, its open channels.
+        host: The feature host of the node.
+        dependencies: The tables of the resources that each feature uses, by the feature's table.
+        channels: The open channels of each feature, by the feature's table.
     """
 
     def __init__(self, host: NodeFeatureHost) -> None:
         self.host = host
         self.dependencies: dict[str, set[str]] = {}
         self.channels: dict[str, list[Transport]] = {}
-        self._store: Store | None = None  # while some feature uses it
+        self._store: Store | None = None  # open while any feature uses it
 
     def channel(self, tag: int, received: DatagramReceiver) -> Transport:
-        """Opens a channel for a feature; it ends with the membership.
+        """Opens a channel for a feature; it is closed when the membership stops.
+
+        Args:
+            tag: Tag of the channel, 1 to 127.
+            received: Called with each datagram and its source address.
 
         Raises:
             FeatureError: There is no membership.
@@ -61,15 +66,16 @@
         members = self.host.members
         if members is None:
             raise FeatureError(
-                "no channel to other nodes: there is no membership", MEMBERSHIP_TABLE
+                "a channel to other nodes cannot be opened: there is no membership",
+                MEMBERSHIP_TABLE,
             )
-        self._note_dependency(MEMBERSHIP_TABLE)
+        self._record_dependency(MEMBERSHIP_TABLE)
         channel = members.mux.channel(tag, received)
         self.channels.setdefault(self._owner_of(tag), []).append(channel)
         return channel
 
     def _owner_of(self, tag: int) -> str:
-        """The table of the feature that starts just now, else of the one with this tag."""
+        """Returns the table of the feature that is being started, else of the one with this tag."""
         starting = self.host.lifecycle.starting_table
         if starting:
             return starting
@@ -79,7 +85,7 @@
         return ""
 
     def records(self) -> Records:
-        """The replicated records; they end with the membership.
+        """Returns the replicated records, which become unusable when the membership stops.
 
         Raises:
             FeatureError: There is no membership.
@@ -87,28 +93,30 @@
         members = self.host.members
         if members is None:
             raise FeatureError(
-                "no records of other nodes: there is no membership", MEMBERSHIP_TABLE
+                "records of other nodes are not available: there is no membership",
+                MEMBERSHIP_TABLE,
             )
-        self._note_dependency(MEMBERSHIP_TABLE)
+        self._record_dependency(MEMBERSHIP_TABLE)
         return members.records()
 
     def store(self) -> Store:
-        """The node's store, which all features share.
+        """Returns the node's store, which all features share; opens it at the first call.
 
         Raises:
-            StoreError: It cannot be opened, or another process has it.
+            StoreError: The store cannot be opened, or another process has locked it.
         """
-        self._note_dependency(STORE_TABLE)
+        self._record_dependency(STORE_TABLE)
         if self._store is None:
             table = self.host.operator_config().store
             options = table.wish() if table is not None else None
             self._store = SharedStore(open_store(options, self.host.name))
         return self._store
 
-    def _note_dependency(self, table: str) -> None:
-        """Notes what a feature builds on.
+    def _record_dependency(self, table: str) -> None:
+        """Records that the calling feature uses a resource.
 
-        Which feature asks is known while one starts; later it may be any except the node's own.
+        The caller is known only while a feature is being started. Later, the resource is recorded for every
+        running feature except the core features.
         """
         starting = self.host.lifecycle.starting_table
         for user in self.host.features:
@@ -116,13 +124,11 @@
                 self.dependencies.setdefault(user, set()).add(table)
 
     def dependents(self, tables: set[str]) -> set[str]:
-        """Tables of the features that build on any of these."""
-        return {
-            user for user, built_on in self.dependencies.items() if built_on & tables
-        }
+        """Returns the tables of the features that use any of these resources."""
+        return {user for user, used in self.dependencies.items() if used & tables}
 
     def release(self, table: str) -> list[Transport]:
-        """Forgets a feature that stops; returns its channels, which are to be closed once it has stopped."""
+        """Removes a feature that stops; returns its channels, which the caller closes once it has stopped."""
         self.dependencies.pop(table, None)
         return self.channels.pop(table, [])
 
@@ -137,12 +143,12 @@
             self.host.line(f"store close failed reason={error_line(error)}")
 
     def sent(self) -> dict[str, SentDatagrams]:
-        """What features have sent on channels of their own, by table."""
-        found = {}
+        """Returns the traffic that features have sent on their own channels, by table."""
+        sent_by_table = {}
         for table, channels in self.channels.items():
             counters = [channel.counters for channel in channels]
-            found[table] = SentDatagrams(
+            sent_by_table[table] = SentDatagrams(
                 sum(counter.sent for counter in counters),
                 sum(counter.sent_bytes for counter in counters),
             )
-        return found
+        return sent_by_table
