--- a/loadbalancer/lab/scale/views.py
+++ b/loadbalancer/lab/scale/views.py
@@ -284,7 +284,7 @@
 
     def judge() -> None:
         host.clock += 250_000
-        part.context.judge.observer.observe(host.clock, live, words)
+        part.context.evaluator.observer.observe(host.clock, live, words)
 
     def ticked() -> None:
         host.clock += 250_000
@@ -433,7 +433,7 @@
     evidence = EvidenceEvaluator(EvidenceRules())
 
     def judge(names: Callable[[list[str]], Collection[str]]) -> None:
-        """As `net.freeze.FreezeFeature.judge` does it at the coordinator, who hands on a list of names."""
+        """As `FreezeFeature.evaluate_reports` does it at the coordinator, who hands on a list of names."""
         clock[0] += 1_000_000
         reports = {}
         for record in table.of(EVIDENCE):
--- a/loadbalancer/node/features/audit.py
+++ b/loadbalancer/node/features/audit.py
@@ -1,7 +1,8 @@
-"""Hosts the audit: the node's ledger, its view of the fleet, and what it does about itself when it is behind.
+"""Feature `[audit]`: the node's ledger, its view of the fleet, and its remediation when it is outdated.
 
-`loadbalancer.audit` decides; here are the clock, the store's log, the members' records, the channel to their
-audits and calls to other agents of discovery. Imported only where the operators' file has `[audit]`.
+The package `loadbalancer.audit` makes the decisions. This module supplies the clock, the store's log, the
+members' records, the channel to their audits and the calls to other discovery agents. It is imported only
+where the operator configuration has the table `[audit]`.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 )
 from loadbalancer.errors import LoadBalancerError
 from loadbalancer.node.features import audit_page
-from loadbalancer.node.features.audit_context import AuditContext, FleetJudge
+from loadbalancer.node.features.audit_context import AuditContext, FleetEvaluator
 from loadbalancer.node.features.audit_ledger import LedgerStore
 from loadbalancer.node.features.audit_list_adoption import ListAdopter
 from loadbalancer.node.features.audit_remediation import RemediationRunner
@@ -48,16 +49,32 @@
 from loadbalancer.records.interface import Records
 from loadbalancer.transports.interface import Address
 
-CHANNEL_TAG = 2
+CHANNEL_TAG = 2  # of the channel to other nodes' audits
 TICK_S = 0.25  # between two observations of the fleet
-MEMBERSHIP_RETRY_S = 1.0
-MAX_WRITING_SHARE = 20  # the ledger is written one part in so many of the time at most
-MEMBERS_INTERVAL_US = 1_000_000  # versions of the members are recorded so often at most
+MEMBERSHIP_RETRY_S = 1.0  # between two attempts to open the records and the channel
+# The pause between two writes of the ledger, in multiples of the last write's duration: writes take at most
+# about 1/20 of the time.
+WRITE_PAUSE_FACTOR = 20
+# Minimum time between two recorded versions of the members.
+MEMBERS_INTERVAL_US = 1_000_000
+# Health states of a member whose start and end are logged.
 LOGGED_STATES = OUTDATED_STATES | {HealthState.SILENT}
 
 
 class AuditFeature(Feature):
-    """`[audit]`: which node acts on which version, and what an outdated one does about it."""
+    """`[audit]`: tracks which node acts on which version, and remediates this node if it is outdated.
+
+    Attributes:
+        host: The services of the node.
+        context: The ledger, the fleet evaluator and other state that the audit's modules share.
+        receiver: Reads the members' status records.
+        reporter: Publishes this node's status record.
+        endpoint_exchange: Sends and fetches endpoint lists.
+        runner: Carries out remediations.
+        records: The members' records; None without a membership.
+        timer: Timer of the next observation.
+        flush_timer: Timer of the next write of the ledger.
+    """
 
     name = "audit"
     tag = CHANNEL_TAG
@@ -80,28 +97,28 @@
 
     @property
     def ledger(self) -> Ledger:
-        """The node's ledger; another object once the store could be read."""
+        """The node's ledger; it is replaced once the store has been read."""
         return self.context.store.ledger
 
     @property
     def view(self) -> FleetView | None:
-        """The last observation of the fleet."""
-        return self.context.judge.view
+        """The last observation of the fleet; None before the first one."""
+        return self.context.evaluator.view
 
     @property
     def list_version(self) -> VersionId | None:
-        """The version of the endpoint list that the own discovery has reported."""
+        """The version of the endpoint list that this node's discovery has reported; None before that."""
         return self.context.endpoints.local.list_version
 
     # ---- start, reload and stop -----------------------------------------------------------------------
 
     def start(self, host: FeatureHost) -> None:
-        """Begins; the store and the other nodes may come later."""
+        """Starts the audit; the store and the membership may become available later."""
         self.host = host
-        operation = host.operator_config()
-        table, self._cells = _table(operation), operation.cells
-        judge = FleetJudge(host, table)
-        self.context = AuditContext(host, table, LedgerStore(host), judge)
+        operator_config = host.operator_config()
+        table, self._cells = _table(operator_config), operator_config.cells
+        evaluator = FleetEvaluator(host, table)
+        self.context = AuditContext(host, table, LedgerStore(host), evaluator)
         self.receiver = StatusReceiver(host)
         self.reporter = StatusReporter(self.context)
         self.endpoint_exchange = EndpointExchange(host, ListAdopter(self.context).adopt)
@@ -116,32 +133,33 @@
         self.tick()
         self.flush()
 
-    def reload(self, operation: OperatorConfig) -> None:
-        """Takes the operators' wishes; what goes on goes on."""
-        numbering_before = self.context.table.numbering
-        if operation.cells != self._cells:
+    def reload(self, operator_config: OperatorConfig) -> None:
+        """Applies a new operator configuration; remediations under way continue."""
+        previous_numbering = self.context.table.numbering
+        if operator_config.cells != self._cells:
             self._leave_cell()
-        self._cells = operation.cells
-        self.context.table = _table(operation)
-        self.context.judge.configure(self.context.table)
+        self._cells = operator_config.cells
+        self.context.table = _table(operator_config)
+        self.context.evaluator.configure(self.context.table)
         version = self.reporter.versions.get(VersionSource.LIST)
-        if self.context.table.numbering != numbering_before and version is not None:
+        if self.context.table.numbering != previous_numbering and version is not None:
             self.on_version(version)
 
     def _leave_cell(self) -> None:
-        """The cell has changed: what was seen, claimed and voted among others holds no more.
+        """Discards what was observed, requested and voted in the previous cell, because the cell has changed.
 
-        It is as after a start: nobody is judged or voted out until the new cell has been heard.
+        The audit continues as after a start: it evaluates no member and votes on no quarantine until it has
+        observed the new cell.
         """
         if self.runner.quarantined:
             self.runner.rejoin("another cell")
         self.endpoint_exchange.cancel_fetch()
-        self.context.judge.reset()
+        self.context.evaluator.reset()
         self.receiver.forget()
-        self.reporter.forget()  # the record has been withdrawn from the old cell
+        self.reporter.forget()  # the old cell's copy of the record has been withdrawn
 
     def stop(self, graceful: bool) -> None:
-        """Ends in order: the ledger says so."""
+        """Stops the audit, and records the orderly end of this incarnation in the ledger."""
         for timer in (self.timer, self.flush_timer):
             if timer is not None:
                 timer.cancel()
@@ -150,24 +168,24 @@
         self.endpoint_exchange.stop()
         self.context.store.close()
         if self.runner.quarantined:
-            self.host.set_quarantined(False, "the audit ends")
+            self.host.set_quarantined(False, "the audit stops")
         state = self.ledger.state
         self.host.log_event(
             "audit stopped", entries=state.entries, chain_head=state.head.hex()[:16]
         )
 
-    # ---- what the node does ---------------------------------------------------------------------------
+    # ---- events of the node ---------------------------------------------------------------------------
 
     def on_attempt_end(self, end: AttemptEnd) -> None:
-        """An attempt counts under the versions that were in force when it began."""
+        """Counts an attempt under the versions that were in force when it started."""
         self.context.store.ledger.count_attempt(end.outcome, end.started_at_us)
 
     def on_list_update(self, update: ListUpdate) -> None:
-        """The own discovery has answered, if only that there is nothing new."""
+        """Records an answer of this node's discovery, even one without changes."""
         self.context.endpoints.on_list_update(update, self.host.now())
 
     def on_version(self, version: Version) -> None:
-        """The node acts on another version of something."""
+        """Records in the ledger that the node acts on a version from now on."""
         now = self.host.now()
         self.reporter.versions[version.source] = version
         origin = version.origin
@@ -185,31 +203,32 @@
     def on_change_made(
         self, change: Change, scope: str, grant: tuple[int, int] | None
     ) -> None:
-        """The node has made a change of its own; the ledger names what it acted under."""
+        """Records in the ledger that the node has made a change, and its fencing token."""
         self.ledger.record_action(change.value, scope, self.host.now(), grant)
 
     def _has_recent_members(self, now: int) -> bool:
-        """Members change in swarms; one version of them a second is recorded.
+        """Returns whether the last version of the members was recorded less than a second ago.
 
-        Failure prevented: three hundred that start together make as many versions, and a list's own are
-        summed up to make room for them.
+        Members change in bursts; only one version per second is recorded. Failure prevented: three hundred
+        members that start together produce three hundred versions, and the ledger merges the entries of the
+        endpoint list to make space for them.
         """
         last = self.ledger.state.in_force.get(VersionSource.MEMBERS.value)
         return last is not None and now - last.activated_at < MEMBERS_INTERVAL_US
 
     def flush(self) -> None:
-        """Writes the ledger now and then."""
+        """Writes the ledger, and schedules the next write."""
         store = self.context.store
         store.flush()
-        # Failure prevented: with a slow disk requests wait for the ledger more than for servers.
-        slow_s = MAX_WRITING_SHARE * store.last_write_ms / 1000
-        delay_s = max(self.context.table.flush_s, slow_s)
+        # Failure prevented: with a slow disk, requests wait longer for ledger writes than for servers.
+        min_pause_s = WRITE_PAUSE_FACTOR * store.last_write_ms / 1000
+        delay_s = max(self.context.table.flush_s, min_pause_s)
         self.flush_timer = self.host.loop.call_later(delay_s, self.flush)
 
     # ---- the fleet ------------------------------------------------------------------------------------
 
     def _open_membership(self) -> None:
-        """Takes part in what the members tell each other, once there is a membership."""
+        """Opens the records and the channel to other audits, once there is a membership."""
         self._membership_retry_at_s = self.host.loop.time() + MEMBERSHIP_RETRY_S
         try:
             self.records = self.host.records()
@@ -221,41 +240,49 @@
             self.records = None
 
     def tick(self) -> None:
-        """Observes the fleet, acts, and publishes what has changed."""
+        """Observes the fleet, carries out remediations, and publishes this node's changed status."""
         self.timer = self.host.loop.call_later(TICK_S, self.tick)
         if self.records is None:
             if self.host.loop.time() >= self._membership_retry_at_s:
                 self._open_membership()
             if self.records is None:
                 return
-        now, judge = self.host.now(), self.context.judge
+        now, evaluator = self.host.now(), self.context.evaluator
         live = self.host.cell_members()
         statuses = self.receive_statuses(self.records)
-        view = judge.view = judge.observer.observe(now, live, statuses)
+        view = evaluator.view = evaluator.observer.observe(now, live, statuses)
         local = self.context.endpoints.local
-        for remediation in judge.remediator.update(now, view, local):
+        for remediation in evaluator.remediator.update(now, view, local):
             self.runner.perform(remediation, now)
-        if judge.remediator.catch_up.attempt is None:
+        if evaluator.remediator.catch_up.attempt is None:
             self.endpoint_exchange.cancel_fetch()
         self.endpoint_exchange.retry_missing_parts(now)
         self.log_health_changes(view)
         if view.settled:
-            # Until then others go by the status of this node's earlier incarnation.
+            # Before that, others use the status of this node's previous incarnation.
             self.publish_status(now)
 
     def receive_statuses(self, records: Records) -> dict[str, ReceivedStatus]:
-        """The members' statuses, and this node's as it would publish it now."""
+        """Returns the members' statuses by member, with this node's as it would publish it now.
+
+        Args:
+            records: The members' records.
+        """
         statuses = self.receiver.receive(records)
         statuses[self.host.name] = ReceivedStatus(self.reporter.status())
         return statuses
 
     def publish_status(self, now: int) -> None:
-        """Publishes this node's status, if it has changed (monotonic microseconds)."""
+        """Publishes this node's status, if it has changed (`now`: monotonic microseconds)."""
         assert self.records is not None
         self.reporter.publish(now, self.records)
 
     def log_health_changes(self, view: FleetView) -> None:
-        """Logs each member that has become outdated or silent, or is neither any more."""
+        """Logs each member that has become outdated or silent, or that has recovered from it.
+
+        Args:
+            view: The latest observation of the fleet.
+        """
         states = self._logged_states
         for member, health in view.health.items():
             old, new = states.get(member, HealthState.UNKNOWN), health.state
@@ -273,7 +300,7 @@
             del states[member]
 
     def _on_datagram(self, data: bytes, source: Address) -> None:
-        """Another node's audit: a hint, a request for the endpoint list, or a part of it."""
+        """Handles a datagram of another audit: a hint, a request for the endpoint list, or a part of it."""
         message = endpoint_transfer.decode(data)
         if isinstance(message, endpoint_transfer.OutdatedHint):
             self.runner.on_hint(message.target)
@@ -288,20 +315,20 @@
     # ---- operators ------------------------------------------------------------------------------------
 
     def metrics(self) -> dict[str, Any]:
-        """Counts for the node's figures."""
-        return audit_page.figures(self.context, self.endpoint_exchange.parts_sent)
+        """Returns the audit's table for `/admin/stats`."""
+        return audit_page.metrics(self.context, self.endpoint_exchange.parts_sent)
 
     def pages(self) -> dict[str, Callable[[], tuple[bool, dict[str, Any]]]]:
-        """`/admin/audit`: well while the ledger can be written."""
+        """Returns the page `/admin/audit`; it is healthy while the ledger can be written."""
         return {"/admin/audit": self.page}
 
     def page(self) -> tuple[bool, dict[str, Any]]:
-        """The ledger and the view of the fleet."""
+        """Returns whether the ledger can be written, and the table of the ledger and the fleet."""
         table = audit_page.page(self.context, self.host.now())
         return not self.context.store.error, table
 
 
-def _table(operation: OperatorConfig) -> AuditTable:
-    """The operators' table; the feature runs only where they have one."""
-    assert operation.audit is not None
-    return operation.audit
+def _table(operator_config: OperatorConfig) -> AuditTable:
+    """Returns the `[audit]` table; the feature runs only where the operator configuration has it."""
+    assert operator_config.audit is not None
+    return operator_config.audit
--- a/loadbalancer/node/features/audit_context.py
+++ b/loadbalancer/node/features/audit_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the audit share: the ledger, the judge of the fleet, the endpoints, the counters."""
+"""State that the modules of the audit share: the ledger, the fleet evaluator, the endpoints, the counters."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from loadbalancer.node.features.feature import FeatureHost
 
 US_PER_S = 1_000_000
-MAX_PEERS_ASKED = 3  # in one round of catching up
+MAX_PEERS_ASKED = 3  # in one round of a catch-up
 
 
 class CatchUpMethod(StrEnum):
-    """From whom a list was taken over; the values are published."""
+    """The kind of source from which a list was adopted. The values are published."""
 
     AGENT = "by_agent"
     PEERS = "by_peers"
@@ -27,19 +27,19 @@
 
 @dataclass
 class AuditCounters:
-    """What the feature counts, in the order of the published table.
+    """Counters of the audit, in the order of the published table.
 
     Attributes:
-        own_discovery_asked: Times that the own discovery was asked anew.
-        agents_asked: Requests to the agents that operators name.
+        own_discovery_asked: Additional requests to this node's own discovery.
+        agents_asked: Requests to the discovery agents that operators configure.
         peers_asked: Requests to peers.
-        notified: Outdated members that were notified.
-        caught_up: Lists that were taken over from others.
-        by_agent: Those of them from another agent.
-        by_peers: Those of them from peers.
-        quarantined: Times that this node was quarantined.
-        rejoined: Times that it came back.
-        rejected: Quarantines that were not approved.
+        notified: Hints sent to outdated members.
+        caught_up: Lists adopted from agents or peers.
+        by_agent: Lists adopted from another agent.
+        by_peers: Lists adopted from peers.
+        quarantined: Quarantines of this node that started.
+        rejoined: Quarantines of this node that ended.
+        rejected: Quarantines of this node that were not approved.
     """
 
     own_discovery_asked: int = 0
@@ -54,7 +54,7 @@
     rejected: int = 0
 
     def count_catch_up(self, method: CatchUpMethod) -> None:
-        """Counts a list that was taken over."""
+        """Counts an adopted list (`method`: the kind of its source)."""
         self.caught_up += 1
         if method is CatchUpMethod.AGENT:
             self.by_agent += 1
@@ -62,13 +62,14 @@
             self.by_peers += 1
 
     def table(self) -> dict[str, int]:
-        """The counters by their published names."""
+        """Returns the counters by their published names."""
         return {
             PUBLISHED_COUNTERS.get(name, name): count
             for name, count in asdict(self).items()
         }
 
 
+# Published names of the counters that are published under another name than the attribute's.
 PUBLISHED_COUNTERS = {
     "own_discovery_asked": "asked_own",
     "agents_asked": "asked_agents",
@@ -81,12 +82,13 @@
 }
 
 
-class FleetJudge:
-    """The pure deciders: the observer of the fleet and the remediator, with their rules.
+class FleetEvaluator:
+    """The two pure state machines of the audit, the fleet observer and the remediator, with their rules.
 
     Attributes:
-        observer: Judges the members by their status records.
-        remediator: Decides what this node does about itself and others.
+        host: The services of the node.
+        observer: Evaluates the health of the members from their status records.
+        remediator: Decides which remediations this node carries out.
         view: The last observation; None until the first one, and after `reset`.
     """
 
@@ -98,7 +100,7 @@
         self.configure(table)
 
     def configure(self, table: AuditTable) -> None:
-        """Takes the operators' rules; what goes on goes on, and what was never used is made anew."""
+        """Applies the operators' rules; before the first observation, creates both machines again."""
         fleet, remediation = fleet_rules(table), remediation_rules(table)
         if self.view is None:
             seed = self.host.seed() ^ self.host.now()
@@ -108,47 +110,51 @@
         self.remediator.update_rules(remediation)
 
     def reset(self) -> None:
-        """Forgets the fleet; the next `configure` makes both deciders anew."""
+        """Discards the view of the fleet; the next `configure` creates both machines again."""
         self.view = None
 
     def deadline_age_s(self, now: int) -> float | None:
-        """Seconds since the own discovery's deadline (negative: before it); None if there was none."""
+        """Returns the seconds since the deadline of discovery; negative before it, None without one.
+
+        Args:
+            now: Monotonic microseconds.
+        """
         deadline = self.remediator.discovery_deadline
         return round((now - deadline) / US_PER_S, 3) if deadline else None
 
 
 @dataclass
 class AuditContext:
-    """The feature's parts and what they share.
+    """State that the modules of the audit share.
 
     Attributes:
-        host: The node.
-        table: The operators' table in force.
+        host: The services of the node.
+        table: The `[audit]` table in force.
         store: The ledger and its log.
-        judge: The pure deciders.
+        evaluator: The fleet observer and the remediator.
         endpoints: The endpoint list as this node knows it.
-        counters: What is counted.
-        stopped: The feature has ended; late answers change nothing.
+        counters: The counters of the audit.
+        stopped: Whether the feature has stopped; late answers are then ignored.
     """
 
     host: FeatureHost
     table: AuditTable
     store: LedgerStore
-    judge: FleetJudge
+    evaluator: FleetEvaluator
     endpoints: AuditedEndpoints = field(default_factory=AuditedEndpoints)
     counters: AuditCounters = field(default_factory=AuditCounters)
     stopped: bool = False
 
 
 def fleet_rules(table: AuditTable) -> FleetRules:
-    """The observer's rules as operators wish them."""
+    """Returns the rules of the fleet observer that a table configures."""
     return FleetRules(
         lag_us=int(table.lag_s * US_PER_S), dwell_us=int(table.hold_s * US_PER_S)
     )
 
 
 def remediation_rules(table: AuditTable) -> RemediationRules:
-    """The remediator's rules as operators wish them."""
+    """Returns the rules of the remediator that a table configures."""
     return RemediationRules(
         lag_us=int(table.lag_s * US_PER_S),
         silence_us=int(table.silence_s * US_PER_S),
--- a/loadbalancer/node/features/audit_endpoints.py
+++ b/loadbalancer/node/features/audit_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the audit follows it: from the own discovery, and what was adopted since."""
+"""The endpoint list that the audit tracks: as this node's discovery reported it, with lines adopted since."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True)
 class ListDifference:
-    """What another list changes here.
+    """The changes that lead from this node's list to another one.
 
     Attributes:
-        removed: Endpoints that it does not have, as gone.
-        draining: Endpoints that do not take calls by it, and whose state differs here.
-        added: Ready endpoints that are new here.
+        removed: Endpoints that the other list does not have, with the state `GONE`.
+        draining: Endpoints that are not ready in the other list and whose state here differs or is unknown.
+        added: Ready endpoints of the other list that are missing here.
     """
 
     removed: list[Line]
@@ -31,21 +31,27 @@
     """The endpoints of this node, and the versions of the list that it acts on.
 
     Attributes:
-        local: What the remediator reads of this node.
-        versions: Versions from the own discovery to report, newest last.
-        endpoints: By name, as the own discovery reported them.
+        local: The state of this node that the remediator reads.
+        versions: Versions from this node's discovery that it reports to others, newest last.
+        endpoints: The endpoints by name, as this node's discovery reported them.
     """
 
     def __init__(self) -> None:
         self.local = LocalState()
         self.versions: tuple[VersionId, ...] = ()
         self.endpoints: dict[str, Line] = {}
-        self._incomplete: dict[str, Line] | None = None  # a full list in parts
-        # From others, until the own discovery names the endpoint
+        # The parts received so far of a complete list that arrives in parts.
+        self._incomplete: dict[str, Line] | None = None
+        # Lines adopted from others, by name, until this node's discovery reports the endpoint.
         self._adopted: dict[str, Line] = {}
 
     def on_list_update(self, update: ListUpdate, now: int) -> None:
-        """The own discovery has answered, if only that there is nothing new (monotonic microseconds)."""
+        """Applies an answer of this node's discovery, even one without changes.
+
+        Args:
+            update: The update.
+            now: Time of the answer in monotonic microseconds.
+        """
         self.local.discovery_answered_at = now
         known = self.local.list_version
         is_newer = known is None or update.version.number > known.number
@@ -66,38 +72,38 @@
                 self._adopted.clear()
 
     def on_version(self, version: VersionId) -> None:
-        """The node acts on a version from its own discovery, whose word alone holds from now on."""
+        """Records that the node acts on a version from its own discovery, which replaces an adopted one."""
         self.versions = append_version(self.versions, version)
         self.local.list_version = version
         self.local.adopted = None
 
     def add_adopted(self, lines: Iterable[Line]) -> None:
-        """Endpoints were merged from another node's list."""
+        """Records endpoint lines that were merged from the list of an agent or a peer."""
         self._adopted |= {line.id: line for line in lines}
 
     def difference(self, other: list[Line]) -> ListDifference:
-        """What `other` changes here, in its own order."""
+        """Returns the changes that lead from this node's list to `other`, in the order of `other`."""
         listed = {line.id for line in other}
-        here = {
+        current = {
             name: line
             for name, line in (self.endpoints | self._adopted).items()
             if line.state != EndpointState.GONE
         }
         removed = [
             replace(line, state=EndpointState.GONE)
-            for name, line in here.items()
+            for name, line in current.items()
             if name not in listed
         ]
         draining = [
             line
             for line in other
             if line.state != EndpointState.READY
-            and (line.id not in here or here[line.id].state != line.state)
+            and (line.id not in current or current[line.id].state != line.state)
         ]
         added = [
             line
             for line in other
-            if line.state == EndpointState.READY and line.id not in here
+            if line.state == EndpointState.READY and line.id not in current
         ]
         return ListDifference(removed, draining, added)
 
--- a/loadbalancer/node/features/audit_ledger.py
+++ b/loadbalancer/node/features/audit_ledger.py
@@ -1,6 +1,6 @@
-"""Keeps the audit's ledger in the node's store: restores it at the start, writes it in batches.
+"""Keeps the audit's ledger in the node's store: restores it at the start, and writes it in batches.
 
-Calls block for a write, every `flush_s`; how long the last and the longest took stands in the figures.
+A write blocks the event loop, once every `flush_s`; the metrics show the last and the longest duration.
 """
 
 from __future__ import annotations
@@ -17,25 +17,27 @@
 from loadbalancer.node.features.feature import FeatureHost
 from loadbalancer.stores.interface import Store, StoreError
 
-LOG_NAME = "audit"  # of the first chain; later ones add a number
-STORE_RETRY_S = 1.0
-MAX_PENDING_BATCHES = 64  # then a checkpoint stands for them
-MAX_LOGS = 3  # of broken chains that are kept to be looked at
+LOG_NAME = "audit"  # log of the first chain; the logs of later chains append a number
+STORE_RETRY_S = 1.0  # between two attempts to open the store
+MAX_PENDING_BATCHES = 64  # at this number of batches, one checkpoint replaces them
+MAX_LOGS = 3  # logs that are kept, including those of broken chains, for inspection
+# Keys of the ledger's table with times in microseconds; `LedgerStore.table` shows them as seconds ago.
 PAGE_TIMES = ("told_us", "taken_us", "first_us", "last_us")
 
 
 class LedgerStore:
-    """The ledger, and the log of the store that it lies in.
+    """The ledger, and the log of the node's store that contains it.
 
     Attributes:
-        ledger: The ledger; another object once the store's could be read.
-        store: The node's store; None while it cannot be had.
-        log_name: The log in it.
-        restored: What the store held, for the log line of the start and the page. Keys are published.
-        pending: Batches that the store has not taken yet.
-        error: What is wrong with the store, for operators; empty if nothing is.
-        last_write_ms: How long the last write took.
-        longest_write_ms: How long the longest took.
+        host: The services of the node.
+        ledger: The ledger; it is replaced once the store has been read.
+        store: The node's store; None while it is not available.
+        log_name: Name of the log in the store.
+        restored: What the store contained, for the log line at the start and the page. Keys are published.
+        pending: Batches that have not been written yet.
+        error: The error of the store, for operators; empty if there is none.
+        last_write_ms: Duration of the last write in milliseconds.
+        longest_write_ms: Duration of the longest write in milliseconds.
     """
 
     def __init__(self, host: FeatureHost) -> None:
@@ -52,9 +54,10 @@
         self.open()
 
     def open(self) -> None:
-        """Opens the ledger's log, and continues where it ends. What was counted meanwhile is kept.
+        """Opens the ledger's log, and continues the ledger from its end, with all that was counted meanwhile.
 
-        In an upgrade the process before this one has the store until its end.
+        If the store is not available, `flush` tries again: in an upgrade the previous process keeps it locked
+        until it exits.
         """
         try:
             store = self.host.store()
@@ -78,15 +81,15 @@
             self.ledger = self.ledger.continue_from(state)
 
     def flush(self) -> None:
-        """Writes what has come since the last time. A kill loses no more than that."""
+        """Writes the entries since the last call; a killed process loses only what was not flushed."""
         if self.store is None and self.host.loop.time() >= self._retry_at_s:
             self.open()
         self.write()
 
     def write(self) -> None:
-        """Appends all batches; those that the store does not take stay pending."""
+        """Appends all batches to the log; those that the store rejects stay pending."""
         if self.store is None:
-            return  # the entries wait, and sums do not grow
+            return  # the ledger keeps the entries; counts are sums and take no more space
         if len(self.pending) >= MAX_PENDING_BATCHES:
             self.pending.clear()
             self.pending.append(LedgerBatch(self.ledger.checkpoint(), True))
@@ -108,7 +111,7 @@
         self.longest_write_ms = max(self.longest_write_ms, self.last_write_ms)
 
     def close(self) -> None:
-        """Ends the incarnation in order, and writes it."""
+        """Records the orderly end of this incarnation, and writes the ledger."""
         self.ledger.end_incarnation(self.host.now())
         self.write()
 
@@ -123,9 +126,9 @@
     # ---- broken chains --------------------------------------------------------------------------------
 
     def _read_newest_log(self, store: Store) -> LedgerReading:
-        """The newest log that can be read. A broken one stays as it is, and the next number begins.
+        """Reads the newest log; if its chain is broken, keeps it unchanged and starts the next log.
 
-        Failure prevented: a node that appends to a chain that is broken buries the break.
+        Failure prevented: a node appends to a broken chain and thereby hides the break.
         """
         logs = sorted(
             name
@@ -147,7 +150,7 @@
     # ---- operators ------------------------------------------------------------------------------------
 
     def metrics(self) -> dict[str, Any]:
-        """Counts for the node's figures. Keys are published."""
+        """Returns the ledger's table for `/admin/stats`. Keys are published."""
         return {
             "life": self.ledger.state.incarnation,
             "entries": self.ledger.state.entries,
@@ -165,13 +168,16 @@
         return "lasting" if self.store.durable else "not lasting"
 
     def table(self) -> dict[str, Any]:
-        """The ledger for operators, times as seconds ago; those of earlier incarnations mean nothing here."""
+        """Returns the ledger's table for operators, with times as seconds ago.
+
+        Times of earlier incarnations are None: the monotonic clock of this process cannot express them.
+        """
         table, now = self.ledger.table(), self.host.now()
         for row in table["versions"]:
-            is_present = row["life"] == table["life"]
+            is_current = row["life"] == table["life"]
             for key in PAGE_TIMES:
                 at = row.pop(key)
-                age_s = round((now - at) / 1e6, 3) if at and is_present else None
+                age_s = round((now - at) / 1e6, 3) if at and is_current else None
                 row[key.replace("_us", "_s_ago")] = age_s
         return table | {
             "now_us": now,
@@ -182,7 +188,7 @@
 
 
 def _drop_oldest(store: Store, logs: list[str]) -> None:
-    """Empties the oldest logs, so that `MAX_LOGS` are left with the one that begins now."""
+    """Empties the oldest logs, so that `MAX_LOGS` remain, including the one that is about to start."""
     for name in logs[: -(MAX_LOGS - 1)]:
         last = max((number for number, _ in store.read(name)), default=0)
         if last:
--- a/loadbalancer/node/features/audit_list_adoption.py
+++ b/loadbalancer/node/features/audit_list_adoption.py
@@ -1,4 +1,4 @@
-"""Takes over an endpoint list from others, once a quorum holds its content."""
+"""Adopts an endpoint list from an agent or a peer, once a quorum of the members holds its content."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 @dataclass(frozen=True)
 class OfferedList:
-    """A list that another node or agent gave.
+    """A list that an agent or a peer has sent.
 
     Attributes:
-        target: The version that the remediator is after.
-        source: Who gave it.
-        method: How.
-        difference: What it changes here.
-        received_at: When, in monotonic microseconds.
-        deadline: Until when the own discovery was waited for, in monotonic microseconds.
+        target: The version that the remediator wants to reach.
+        source: Name or address of the sender.
+        method: The kind of sender.
+        difference: The changes that lead from this node's list to the offered one.
+        received_at: Time of receipt in monotonic microseconds.
+        deadline: Time until which this node's own discovery was awaited, in monotonic microseconds.
     """
 
     target: VersionId
@@ -38,7 +38,11 @@
 
 
 class ListAdopter:
-    """Applies lists from others: departures and drains at once, new endpoints once that is approved."""
+    """Applies lists from others: departures and drains immediately, new endpoints once that is approved.
+
+    Attributes:
+        context: State that the modules of the audit share.
+    """
 
     def __init__(self, context: AuditContext) -> None:
         self.context = context
@@ -47,16 +51,16 @@
     def adopt(
         self, target: VersionId, lines: list[Line], source: str, method: str
     ) -> None:
-        """Takes over a list's content, if the remediator is still after it.
+        """Adopts the content of a list, if the remediator still wants to reach its version.
 
         Args:
-            target: The version, whose digest the content has.
+            target: The version of the list; the digest of `lines` equals that of the version.
             lines: The content.
-            source: Who gave it.
-            method: How; a value of `CatchUpMethod`.
+            source: Name or address of the sender.
+            method: The kind of sender; a value of `CatchUpMethod`.
         """
         context = self.context
-        attempt = context.judge.remediator.catch_up.attempt
+        attempt = context.evaluator.remediator.catch_up.attempt
         if attempt is None or attempt.target != target or not target.digest:
             return
         offered = OfferedList(
@@ -65,7 +69,7 @@
             CatchUpMethod(method),
             context.endpoints.difference(lines),
             context.host.now(),
-            context.judge.remediator.discovery_deadline,
+            context.evaluator.remediator.discovery_deadline,
         )
         difference = offered.difference
         if difference.removed or difference.draining:
--- a/loadbalancer/node/features/audit_page.py
+++ b/loadbalancer/node/features/audit_page.py
@@ -1,4 +1,4 @@
-"""The audit in figures: the page `/admin/audit` and the node's figures. Keys are published."""
+"""The tables of the audit for `/admin/audit` and `/admin/stats`. Keys are published."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from loadbalancer.node.features.audit_context import US_PER_S, AuditContext
 
 
-def figures(context: AuditContext, handed_over: int) -> dict[str, Any]:
-    """Counts for the node's figures.
+def metrics(context: AuditContext, parts_sent: int) -> dict[str, Any]:
+    """Returns the audit's table for `/admin/stats`.
 
     Args:
-        context: The audit.
-        handed_over: Parts of the endpoint list that were sent to others.
+        context: State of the audit.
+        parts_sent: Number of parts of the endpoint list that were sent to other nodes.
     """
-    remediator, view = context.judge.remediator, context.judge.view
+    remediator, view = context.evaluator.remediator, context.evaluator.view
     table: dict[str, Any] = {
         **context.store.metrics(),
         "service": remediator.quarantine.state.label,
         "step": remediator.step,
         **context.counters.table(),
-        "handed_over": handed_over,
+        "handed_over": parts_sent,
     }
     if view is not None:
         table["standings"] = {
@@ -35,16 +35,21 @@
 
 
 def page(context: AuditContext, now: int) -> dict[str, Any]:
-    """The ledger and the view of the fleet; times in seconds ago."""
+    """Returns the table of `/admin/audit`: the ledger and the view of the fleet, with times as seconds ago.
+
+    Args:
+        context: State of the audit.
+        now: Monotonic microseconds.
+    """
     table: dict[str, Any] = {"ledger": context.store.table()}
-    view = context.judge.view
+    view = context.evaluator.view
     if view is not None:
-        table["fleet"] = _fleet(view, now)
-        table["self"] = _self(context, view, now)
+        table["fleet"] = _fleet_table(view, now)
+        table["self"] = _local_table(context, view, now)
     return table
 
 
-def _fleet(view: FleetView, now: int) -> dict[str, Any]:
+def _fleet_table(view: FleetView, now: int) -> dict[str, Any]:
     statuses = [received.status for received in view.statuses.values()]
     return {
         "side": view.side,
@@ -52,8 +57,8 @@
         "live": len(view.live),
         "known": view.known_count,
         "quorum": view.quorum,
-        "frontiers": [_frontier(frontier) for frontier in view.frontiers.values()],
-        "members": [_member(name, view, now) for name in sorted(view.health)],
+        "frontiers": [_frontier_row(frontier) for frontier in view.frontiers.values()],
+        "members": [_member_row(name, view, now) for name in sorted(view.health)],
         "settings": dict(Counter(status.settings.digest for status in statuses)),
         "operation": dict(
             Counter(status.operator_config.digest for status in statuses)
@@ -62,7 +67,7 @@
     }
 
 
-def _frontier(frontier: Frontier) -> dict[str, Any]:
+def _frontier_row(frontier: Frontier) -> dict[str, Any]:
     return {
         "origin": frontier.origin,
         "number": frontier.number,
@@ -75,7 +80,7 @@
     }
 
 
-def _member(name: str, view: FleetView, now: int) -> dict[str, Any]:
+def _member_row(name: str, view: FleetView, now: int) -> dict[str, Any]:
     health, received = view.health[name], view.statuses.get(name)
     row: dict[str, Any] = {
         "name": name,
@@ -83,10 +88,10 @@
         "why": health.reason,
         "since_s": _age_s(health.since, now),
     }
-    return row if received is None else row | _status(received.status)
+    return row if received is None else row | _status_columns(received.status)
 
 
-def _status(status: StatusRecord) -> dict[str, Any]:
+def _status_columns(status: StatusRecord) -> dict[str, Any]:
     version, adopted = status.list_version, status.adopted
     return {
         "list": list(version) if version is not None else None,
@@ -102,13 +107,13 @@
     }
 
 
-def _self(context: AuditContext, view: FleetView, now: int) -> dict[str, Any]:
-    remediator, local = context.judge.remediator, context.endpoints.local
+def _local_table(context: AuditContext, view: FleetView, now: int) -> dict[str, Any]:
+    remediator, local = context.evaluator.remediator, context.endpoints.local
     answered_at, adopted = local.discovery_answered_at, local.adopted
     return {
         "service": remediator.quarantine.state.label,
         "step": remediator.step,
-        "clock_s": context.judge.deadline_age_s(now),
+        "clock_s": context.evaluator.deadline_age_s(now),
         "answered_s": _age_s(answered_at, now) if answered_at else None,
         "taken": adopted._asdict() if adopted is not None else None,
         "votes": {
--- a/loadbalancer/node/features/audit_remediation.py
+++ b/loadbalancer/node/features/audit_remediation.py
@@ -1,4 +1,4 @@
-"""Carries out what the remediator asks for: requests to others, notifications, quarantine and rejoin."""
+"""Carries out remediations: requests for endpoint lists, hints to members, quarantine and rejoin."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 from loadbalancer.node.features.endpoint_lines import EndpointExchange
 from loadbalancer.node.features.feature import Answer, Change
 
-HINT_INTERVAL_US = 1_000_000  # the own discovery is asked so often at most for hints
+# Minimum time between two requests to discovery that hints cause.
+HINT_INTERVAL_US = 1_000_000
 
 
 class RemediationRunner:
-    """Carries out remediations, and answers hints of other nodes.
+    """Carries out remediations, and handles hints of other nodes.
 
     Attributes:
-        quarantined: Whether this node is out of service by its own wish.
+        context: State that the modules of the audit share.
+        endpoint_exchange: Fetches endpoint lists from agents and peers.
+        quarantined: Whether the audit has quarantined this node.
     """
 
     def __init__(
@@ -25,7 +28,7 @@
         self.context = context
         self.endpoint_exchange = endpoint_exchange
         self.quarantined = False
-        self._hinted_at = 0
+        self._last_hint_at = 0
 
     def perform(self, remediation: Remediation, now: int) -> None:
         """Carries out one remediation (`now` in monotonic microseconds)."""
@@ -37,17 +40,21 @@
             kind=remediation.kind.value,
             reason=remediation.reason,
             member=remediation.member,
-            after_deadline_s=self.context.judge.deadline_age_s(now),
+            after_deadline_s=self.context.evaluator.deadline_age_s(now),
         )
         if remediation.kind is RemediationKind.QUARANTINE:
             self._request_quarantine(remediation.reason)
         elif remediation.kind is RemediationKind.REJOIN:
             self.rejoin(remediation.reason)
         else:
-            self._ask(remediation)
+            self._request_list(remediation)
 
     def on_hint(self, target: VersionId) -> None:
-        """Another node says that this one is outdated: the own discovery is asked at once, once a second."""
+        """Handles a hint that this node is outdated: asks its discovery immediately, at most once a second.
+
+        Args:
+            target: The version that the sender of the hint knows.
+        """
         local, now = self.context.endpoints.local, self.context.host.now()
         own = local.list_version
         is_behind = (
@@ -55,12 +62,12 @@
             and own.origin == target.origin
             and own.number < target.number
         )
-        if not is_behind or now - self._hinted_at < HINT_INTERVAL_US:
+        if not is_behind or now - self._last_hint_at < HINT_INTERVAL_US:
             return
-        self._hinted_at = now
+        self._last_hint_at = now
         local.hinted = True
-        if self.context.judge.remediator.catch_up.attempt is None:
-            # It has not seen so itself: what it hears may be cut off.
+        if self.context.evaluator.remediator.catch_up.attempt is None:
+            # The node has not detected this itself: messages to it may be lost.
             self.context.counters.own_discovery_asked += 1
             self.context.host.fetch_endpoint_list()
 
@@ -75,7 +82,7 @@
         hint = endpoint_transfer.encode(endpoint_transfer.OutdatedHint(target))
         channel.send(hint, address)
 
-    def _ask(self, remediation: Remediation) -> None:
+    def _request_list(self, remediation: Remediation) -> None:
         counters, target = self.context.counters, remediation.target
         if remediation.kind is RemediationKind.POLL_DISCOVERY:
             counters.own_discovery_asked += 1
@@ -103,7 +110,7 @@
 
     def _on_quarantine_answer(self, answer: Answer, reason: str) -> None:
         context, now = self.context, self.context.host.now()
-        remediator = context.judge.remediator
+        remediator = context.evaluator.remediator
         if context.stopped or remediator.quarantine.state != QuarantineState.REQUESTED:
             return
         if not answer.allowed:
@@ -123,13 +130,13 @@
         context.host.log_event(
             "audit quarantine started",
             reason=reason,
-            slot=context.judge.remediator.quarantine.slot,
+            slot=context.evaluator.remediator.quarantine.slot,
             grant=token,
         )
         context.host.set_quarantined(True, f"audit: {reason}")
 
     def rejoin(self, reason: str) -> None:
-        """Ends the quarantine."""
+        """Ends the quarantine; `reason` goes to the log and the ledger."""
         context = self.context
         context.counters.rejoined += 1
         self.quarantined = False
--- a/loadbalancer/node/features/audit_status_exchange.py
+++ b/loadbalancer/node/features/audit_status_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of status records: what this node tells the members of itself, and what they tell it."""
+"""Exchange of status records: publishes this node's record and reads those of the other members."""
 
 from __future__ import annotations
 
@@ -12,46 +12,56 @@
 from loadbalancer.node.features.feature import FeatureHost, Version, VersionSource
 from loadbalancer.records.interface import Records
 
-NO_FILE = FileVersion(0, "")
-CHAIN_HEAD_BYTES = 8  # of the chain head, that the others witness
+NO_FILE = FileVersion(0, "")  # the version of a file that the node does not have
+# Published prefix of the ledger's chain head, which other nodes witness.
+CHAIN_HEAD_BYTES = 8
 
 
 class DecodedStatus(NamedTuple):
-    """A member's status record, decoded once."""
+    """A member's decoded status record, kept so that each version is decoded once."""
 
     record_version: int
-    status: StatusRecord | None  # None: it cannot be read
+    status: StatusRecord | None  # None if the record cannot be decoded
 
 
-class ChainMark(NamedTuple):
-    """How far a member's ledger was; it only ever grows."""
+class LedgerLength(NamedTuple):
+    """The length of a member's ledger, ordered by incarnation and entries; it never decreases."""
 
     incarnation: int
     entries: int
 
 
-class AnnouncedChain(NamedTuple):
-    """This node's chain as it was last told."""
+class PublishedChain(NamedTuple):
+    """The state of this node's ledger chain as it was last published."""
 
-    announced_at: int = 0  # monotonic microseconds
+    published_at: int = 0  # in monotonic microseconds
     entries: int = 0
     chain_head: bytes = b""
 
 
 class StatusReceiver:
-    """Reads the members' status records, each version once."""
+    """Reads the members' status records, and decodes each version once.
+
+    Attributes:
+        host: The services of the node.
+        decoded: The decoded records by member.
+    """
 
     def __init__(self, host: FeatureHost) -> None:
         self.host = host
-        self.decoded: dict[str, DecodedStatus] = {}  # by member
-        self._chain_marks: dict[str, ChainMark] = {}  # by member
+        self.decoded: dict[str, DecodedStatus] = {}
+        self._ledger_lengths: dict[str, LedgerLength] = {}  # by member
 
     def forget(self) -> None:
-        """Drops what was read; the members are others from now on."""
+        """Discards the decoded records, because the node has moved to other members."""
         self.decoded.clear()
 
     def receive(self, records: Records) -> dict[str, ReceivedStatus]:
-        """The other members' statuses, in the order of their records."""
+        """Returns the other members' statuses by member, in the order of their records.
+
+        Args:
+            records: The members' records.
+        """
         received: dict[str, ReceivedStatus] = {}
         for record in records.of(KIND):
             if record.owner == self.host.name:
@@ -70,36 +80,41 @@
         return received
 
     def _check_chain(self, member: str, status: StatusRecord | None) -> None:
-        """A ledger must not go back: an old store was put in its place, or its end was cut off."""
+        """Logs a ledger that has become shorter: an older store replaced it, or its end was cut off."""
         if status is None or not status.ledger_entries:
             return
-        mark = ChainMark(status.incarnation, status.ledger_entries)
-        before = self._chain_marks.get(member, ChainMark(0, 0))
-        if mark < before:
+        length = LedgerLength(status.incarnation, status.ledger_entries)
+        previous = self._ledger_lengths.get(member, LedgerLength(0, 0))
+        if length < previous:
             self.host.log_event(
-                "audit ledger regressed", member=member, before=before, now=mark
+                "audit ledger regressed", member=member, before=previous, now=length
             )
-        self._chain_marks[member] = mark
+        self._ledger_lengths[member] = length
 
 
 class StatusReporter:
-    """Tells the members this node's status whenever it has changed."""
+    """Publishes this node's status to the members whenever it has changed.
+
+    Attributes:
+        context: State that the modules of the audit share.
+        versions: The versions in force by source.
+    """
 
     def __init__(self, context: AuditContext) -> None:
         self.context = context
-        self.versions: dict[VersionSource, Version] = {}  # in force
+        self.versions: dict[VersionSource, Version] = {}
         self._published = b""
-        self._chain = AnnouncedChain()
-        self._membership_epoch = 0  # as told with the chain
+        self._chain = PublishedChain()
+        self._membership_epoch = 0  # as published with the chain
 
     def forget(self) -> None:
-        """The record has been withdrawn: the next status is published in any case."""
+        """Makes `publish` publish the next status in any case, because the record has been withdrawn."""
         self._published = b""
 
     def status(self) -> StatusRecord:
-        """What this node would tell of itself now."""
-        endpoints, judge = self.context.endpoints, self.context.judge
-        remediator, quarantine = judge.remediator, judge.remediator.quarantine
+        """Returns this node's current status."""
+        endpoints, evaluator = self.context.endpoints, self.context.evaluator
+        remediator, quarantine = evaluator.remediator, evaluator.remediator.quarantine
         term = self.versions.get(VersionSource.TERM)
         has_requested = quarantine.state != QuarantineState.SERVING
         return StatusRecord(
@@ -112,7 +127,9 @@
             operator_config=self._file_version(VersionSource.OPERATION),
             program=loadbalancer.__version__,
             membership_epoch=self._membership_epoch,
-            known_members=judge.view.known_count if judge.view is not None else 0,
+            known_members=evaluator.view.known_count
+            if evaluator.view is not None
+            else 0,
             term=term.number if term is not None else 0,
             ready=endpoints.local.list_version is not None,
             step=remediator.step,
@@ -126,46 +143,50 @@
         """Publishes the status, if it differs from the last one.
 
         Args:
-            now: Monotonic microseconds.
-            records: The members' records.
+            now: Current time in monotonic microseconds.
+            records: The members' records, in which the status is written.
         """
         if not self._published:
             self._claim_incarnation(now, records)
         interval = audit_status.renewal_interval_us(
             len(self.context.host.cell_members())
         )
-        if now - self._chain.announced_at >= interval:
-            self._announce_chain(now)
+        if now - self._chain.published_at >= interval:
+            self._refresh_chain(now)
         body = audit_status.encode(self.status())
         if body != self._published:
             self._published = body
             records.put(KIND, body)
 
-    def _announce_chain(self, now: int) -> None:
+    def _refresh_chain(self, now: int) -> None:
         state = self.context.store.ledger.state
-        self._chain = AnnouncedChain(now, state.entries, state.head[:CHAIN_HEAD_BYTES])
-        # With the head alone. Failure prevented: one that dies anywhere has all nodes write anew.
+        self._chain = PublishedChain(now, state.entries, state.head[:CHAIN_HEAD_BYTES])
+        # The epoch is updated only together with the chain head. Failure prevented: the failure of any member
+        # makes all nodes publish their status again.
         members = self.versions.get(VersionSource.MEMBERS)
         if members is not None:
             self._membership_epoch = members.number
 
     def _claim_incarnation(self, now: int, records: Records) -> None:
-        """Before the first status: others may know of later incarnations than an old store does."""
+        """Advances the incarnation past the one that others know, before the first status.
+
+        The store may be older than the status record that the members still hold.
+        """
         host, ledger = self.context.host, self.context.store.ledger
         record = records.get(host.name, KIND)
-        before = audit_status.decode(record.body) if record is not None else None
-        if before is None or before.incarnation < ledger.state.incarnation:
+        previous = audit_status.decode(record.body) if record is not None else None
+        if previous is None or previous.incarnation < ledger.state.incarnation:
             return
-        note = f"others know of life {before.incarnation} with {before.ledger_entries} entries"
+        note = f"others know of life {previous.incarnation} with {previous.ledger_entries} entries"
         host.log_event(
             "audit incarnation advanced",
-            incarnation=before.incarnation + 1,
+            incarnation=previous.incarnation + 1,
             reason=note,
         )
         in_force = [row.key for row in ledger.state.in_force.values()]
         ledger.write_counts()
         ledger.start_incarnation(
-            host.name, now, host.wall_clock(), note, before.incarnation
+            host.name, now, host.wall_clock(), note, previous.incarnation
         )
         for key in in_force:
             ledger.activate(key, now)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -166,7 +166,7 @@
 
     def start(self) -> FakeHost:
         self.feature.start(cast(FeatureHost, self))
-        observer = self.feature.context.judge.observer
+        observer = self.feature.context.evaluator.observer
         observer.rules = replace(observer.rules, settle_us=200_000)
         return self
 
@@ -308,9 +308,9 @@
         table = {"out_after_s": 0.5, "out_share_percent": 25.0, "in_after_s": 0.3}
         hosts = await fleet(FakeNetwork(), **table)
         for host in hosts:
-            host.feature.context.judge.remediator.update_rules(
+            host.feature.context.evaluator.remediator.update_rules(
                 replace(
-                    host.feature.context.judge.remediator.rules,
+                    host.feature.context.evaluator.remediator.rules,
                     vote_embargo_us=0,
                     min_request_age_us=300_000,
                     max_rounds=1,
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -104,13 +104,13 @@
                 and set(audit.view.live) == set(heard(benches[0]))
             )
         )
-        remediator, ledger = audit.context.judge.remediator, audit.ledger
+        remediator, ledger = audit.context.evaluator.remediator, audit.ledger
         for bench, s in zip(
             benches, ["", *[seed] * 5], strict=True
         ):  # one cell, at a SIGHUP
             bench.node.reload(bench.node.config, wish(s, {"count": 1}))
         assert (
-            audit.context.judge.remediator is not remediator
+            audit.context.evaluator.remediator is not remediator
         )  # among others than before it knows no votes...
         assert audit.ledger is ledger  # ...and its ledger goes on
         await until(lambda: all(heard(b) == set(NAMES) for b in benches))
@@ -130,9 +130,9 @@
         wished = {"out_after_s": 0.5, "out_share_percent": 25.0, "in_after_s": 30.0}
         hosts = await fleet(FakeNetwork(), **wished)
         for host in hosts:
-            host.feature.context.judge.remediator.update_rules(
+            host.feature.context.evaluator.remediator.update_rules(
                 replace(
-                    host.feature.context.judge.remediator.rules,
+                    host.feature.context.evaluator.remediator.rules,
                     vote_embargo_us=0,
                     min_request_age_us=300_000,
                     max_rounds=1,
@@ -144,7 +144,7 @@
             host.feature.endpoint_exchange.channel = None  # nobody hands over anything
         await until(lambda: behind.quarantined is True)
         claims, entries = (
-            behind.feature.context.judge.remediator.quarantine.request_number,
+            behind.feature.context.evaluator.remediator.quarantine.request_number,
             behind.feature.ledger.state.entries,
         )
         changed = {
@@ -155,24 +155,25 @@
         behind.feature.reload(build(changed, "operator.toml"))
         assert behind.quarantined is False
         assert (
-            behind.feature.context.judge.remediator.quarantine.state
+            behind.feature.context.evaluator.remediator.quarantine.state
             == QuarantineState.SERVING
         )
         assert (
-            behind.feature.context.judge.remediator.quarantine.request_number != claims
+            behind.feature.context.evaluator.remediator.quarantine.request_number
+            != claims
         )
-        assert not behind.feature.context.judge.remediator.voter.votes
+        assert not behind.feature.context.evaluator.remediator.voter.votes
         assert behind.feature.ledger.state.actions[-1].what == "let-in"
         assert behind.feature.ledger.state.entries > entries
         await until(
             lambda: behind.feature.view is not None and behind.feature.view.settled
         )
-        before = behind.feature.context.judge.observer
+        before = behind.feature.context.evaluator.observer
         behind.feature.reload(
             build(changed | {"audit": QUICK_AUDIT | {"lag_s": 9.0}}, "operator.toml")
         )
         assert (
-            behind.feature.context.judge.observer is before
+            behind.feature.context.evaluator.observer is before
         )  # the same cells: what was seen holds
         await close(hosts)
 
@@ -217,7 +218,7 @@
             assert audit.view is not None
             assert not audit.view.members_in(HealthState.STRAGGLER)
             assert (
-                audit.context.judge.remediator.quarantine.state
+                audit.context.evaluator.remediator.quarantine.state
                 == QuarantineState.SERVING
             )
 
