--- a/loadbalancer/node/features/freeze.py
+++ b/loadbalancer/node/features/freeze.py
@@ -1,11 +1,12 @@
-"""Hosts the change freeze: the pure machine on a channel of the membership's port, its record in the store.
+"""Feature `[freeze]`: runs the state machine of the change freeze, with its channel and its stored record.
 
-`loadbalancer.freeze` decides; here are the clock, one timer, the channel, the store, the members' records and
-operators' calls. Imported only where the operator configuration has `[freeze]`.
+The package `loadbalancer.freeze` makes the decisions. This module supplies the clock, one timer, the channel
+on the membership's port, the store, the members' records and the operators' calls. It is imported only where
+the operator configuration has the table `[freeze]`.
 
-An elector's record is written in a thread of its own, and what must not be sent before waits for it;
-heartbeats and leases do not. A store that cannot be written takes the elector out: it begins anew from what
-the store holds once it can be had again.
+An elector's record is written in a separate thread. Messages that must not be sent before the record is
+stored wait for the write; heartbeats and leases do not. If the store cannot be written, the elector is
+removed; it starts again from the content of the store once that is available.
 """
 
 from __future__ import annotations
@@ -52,20 +53,46 @@
 from loadbalancer.stores.interface import StoreCorruptError
 from loadbalancer.transports.interface import Address, Transport
 
-CHANNEL_TAG = 4
-STORE_RETRY_S = 1.0
-REVIEW_INTERVAL_S = 1.0  # of the channel, the evidence and this node's health
+CHANNEL_TAG = 4  # of the channel to other nodes' freeze features
+STORE_RETRY_S = 1.0  # between two attempts to start again after an error of the store
+# Between two reviews of the channel, the evidence and this node's health.
+REVIEW_INTERVAL_S = 1.0
 
 
 class FreezeFeature(Feature):
-    """The feature."""
+    """`[freeze]`: asks the fleet's coordinator for approval of changes, and takes part in its election.
+
+    Attributes:
+        host: The services of the node.
+        machine: The pure state machine of this node.
+        table: The `[freeze]` table in force.
+        rules: The rules of the state machine.
+        evidence_rules: The rules for incidents that the coordinator opens from fault reports.
+        witness: Collects this node's fault report.
+        store: Writes the elector's record.
+        evidence: Evaluates the members' fault reports; None while this node does not coordinate.
+        channel: The channel to other nodes; None without a membership.
+        records: The members' records; None without a membership.
+        operator_calls: The calls of operators at this node.
+        counters: The counters of this feature.
+        node_changes: The node's own requests.
+        store_error: The error of the store; empty if there is none.
+        stopped: Whether the feature has stopped.
+        inbox: Datagrams received since the machine last ran.
+        run_scheduled: Whether `run_machine` is scheduled on the event loop.
+        timer: Timer of the machine's next deadline.
+        timer_due_at: Time at which `timer` is due, in monotonic microseconds.
+        review_timer: Timer of the next review.
+        endpoint_list: The version of the endpoint list that the node acts on.
+        term: The coordinator's term that the node acts on.
+    """
 
     name = "freeze"
     tag = CHANNEL_TAG
     needs_peers = True
 
     def __init__(self) -> None:
-        # From `start` on:
+        # These are None until `start`.
         self.host: FeatureHost = None  # type: ignore[assignment]
         self.machine: FreezeNode = None  # type: ignore[assignment]
         self.table: FreezeTable = None  # type: ignore[assignment]
@@ -73,7 +100,7 @@
         self.evidence_rules: EvidenceRules = None  # type: ignore[assignment]
         self.witness: FaultWitness = None  # type: ignore[assignment]
         self.store: ElectorStore = None  # type: ignore[assignment]
-        self.evidence: EvidenceEvaluator | None = None  # while this node coordinates
+        self.evidence: EvidenceEvaluator | None = None
         self.channel: Transport | None = None
         self.records: Records | None = None
         self.operator_calls = OperatorCalls(self)
@@ -81,45 +108,52 @@
         self.node_changes = NodeChanges(self, self.operator_calls, self.counters)
         self.store_error = ""
         self.stopped = False
-        # Datagrams of one turn of the event loop are taken together.
+        # Datagrams that arrive in one turn of the event loop are processed together.
         self.inbox: list[bytes] = []
-        self.work_scheduled = False
+        self.run_scheduled = False
         self.timer: asyncio.TimerHandle | None = None
         self.timer_due_at = 0
         self.review_timer: asyncio.TimerHandle | None = None
-        # Versions that the node acts on.
         self.endpoint_list = EndpointListVersion()
         self.term = 0
 
     # ---- lifecycle ------------------------------------------------------------------------------------
 
     def start(self, host: FeatureHost) -> None:
-        """Begins; the channel and the store may come later."""
+        """Starts the feature; the membership may become available later.
+
+        Raises:
+            LoadBalancerError: The store cannot be opened.
+        """
         self.host = host
         self.node_changes.incarnation = f"{host.now() & 0xFFFFFFF:x}"
         self.store = ElectorStore(host, self.counters, self.on_stored, self.fail)
-        self.take_rules(host.operator_config())
+        self.apply_rules(host.operator_config())
         self.witness = FaultWitness(self.evidence_rules)
-        self.begin(None)
+        self.start_machine(None)
         self.look()
 
-    def take_rules(self, operation: OperatorConfig) -> None:
-        """Takes the rules from the operator configuration."""
-        table = operation.freeze
+    def apply_rules(self, operator_config: OperatorConfig) -> None:
+        """Applies the rules of an operator configuration."""
+        table = operator_config.freeze
         assert table is not None
         regions = {}
-        if operation.membership is not None:
+        if operator_config.membership is not None:
             regions = {
                 zone: region
-                for region, zones in operation.membership.regions.items()
+                for region, zones in operator_config.membership.regions.items()
                 for zone in zones
             }
         self.table = table
         self.rules = table.rules(regions)
         self.evidence_rules = table.evidence_rules()
 
-    def begin(self, previous: FreezeNode | None) -> None:
-        """Begins a machine from what the store holds; requests under way continue."""
+    def start_machine(self, previous: FreezeNode | None) -> None:
+        """Creates the state machine from the content of the store.
+
+        Args:
+            previous: The machine that is replaced, whose requests continue; None at the start.
+        """
         record = self.read_record()
         now = self.host.now()
         seed = self.host.seed() ^ self.host.now()
@@ -142,13 +176,13 @@
             lasting=self.store.durable,
         )
         self.on_members_changed()
-        self.work()
+        self.run_machine()
 
     def read_record(self) -> bytes | None:
-        """Reads an elector's record; None where there is none or it is damaged.
+        """Reads the elector's record; None if this node is no elector, or the record is missing or corrupt.
 
         Raises:
-            LoadBalancerError: The store cannot be had.
+            LoadBalancerError: The store cannot be opened.
         """
         self.store.restart()
         if self.host.name not in self.rules.election.electors:
@@ -160,7 +194,7 @@
             return None
 
     def stop(self, graceful: bool) -> None:
-        """Ends; a coordinator's lease runs out by itself."""
+        """Stops the feature; if this node coordinates, its lease expires by itself."""
         self.stopped = True
         for timer in (self.timer, self.review_timer):
             if timer is not None:
@@ -170,24 +204,24 @@
         self.store.close()
         self.host.log_event("freeze stopped")
 
-    def reload(self, operation: OperatorConfig) -> None:
-        """Takes a new operator configuration.
+    def reload(self, operator_config: OperatorConfig) -> None:
+        """Applies a new operator configuration.
 
-        With other rules an elector begins anew from its store, and votes for nobody for a lease, as after any
-        start.
+        If the rules have changed, the machine starts again from the store. As after any start, an elector
+        then votes for no candidate for the duration of a lease.
         """
         previous = self.rules
-        self.take_rules(operation)
+        self.apply_rules(operator_config)
         self.witness.rules = self.evidence_rules
         if self.rules != previous:
-            self.begin(self.machine)
+            self.start_machine(self.machine)
 
     def on_members_changed(self) -> None:
-        """All live members are notified of incidents."""
+        """Updates the machine's list of live members, all of which are notified of incidents."""
         self.machine.set_members(self.host.live_members())
 
     def on_version(self, version: Version) -> None:
-        """The node acts on another version of something."""
+        """Records the versions of the members and of the endpoint list that the node acts on."""
         if version.source is VersionSource.MEMBERS:
             self.node_changes.members_digest = version.digest
         elif version.source is VersionSource.LIST:
@@ -198,25 +232,29 @@
     # ---- the machine ----------------------------------------------------------------------------------
 
     def received(self, data: bytes, source: Address) -> None:
-        """A datagram; all of one turn of the event loop are taken together, with one write."""
+        """Queues a datagram; all datagrams of one turn of the event loop are processed with one write."""
         self.inbox.append(data)
-        if not self.work_scheduled:
-            self.work_scheduled = True
-            self.host.loop.call_soon(self.work)
+        if not self.run_scheduled:
+            self.run_scheduled = True
+            self.host.loop.call_soon(self.run_machine)
 
-    def work(self) -> None:
-        """Takes what has come, and does what is due."""
-        self.work_scheduled = False
+    def run_machine(self) -> None:
+        """Runs the machine: processes the queued datagrams, and then the deadlines that are due."""
+        self.run_scheduled = False
         if self.stopped:
             return
         inbox, self.inbox = self.inbox, []
         actions: list[Action] = []
         for data in inbox:
             actions += self.machine.receive_batched(self.host.now(), data)
-        self.do([*actions, *self.machine.tick(self.host.now())])
+        self.execute([*actions, *self.machine.tick(self.host.now())])
+
+    def execute(self, actions: list[Action]) -> None:
+        """Executes actions of the machine: stores and sends, reports events and outcomes, and sets the timer.
 
-    def do(self, actions: list[Action]) -> None:
-        """Stores and sends, reports what has happened, and arms the timer."""
+        Args:
+            actions: The actions, in their order.
+        """
         for action in actions:
             if isinstance(action, Save):
                 self.store.save(action)
@@ -232,7 +270,7 @@
         self.arm_timer()
 
     def announce_term(self) -> None:
-        """Tells the node that it acts on another coordinator's term."""
+        """Announces the coordinator's term as a version that the node acts on, if the term has advanced."""
         locator = self.machine.client.locator
         if locator.term > self.term:
             self.term = locator.term
@@ -242,35 +280,40 @@
             )
 
     def on_stored(self, number: int, ready: list[Send]) -> None:
-        """The store holds a save; `ready` has waited for it."""
-        self.do([*ready, *self.machine.stored(self.host.now(), number)])
+        """Called when a save has been written.
+
+        Args:
+            number: Number of the save.
+            ready: The messages that waited for it.
+        """
+        self.execute([*ready, *self.machine.stored(self.host.now(), number)])
 
     def fail(self, error: LoadBalancerError) -> None:
-        """The store cannot be written.
+        """Handles a store that cannot be written.
 
-        The elector goes at once: it must give no vote that it would not remember after a restart.
+        The elector is removed immediately: it must not give a vote that a restart would make it forget.
         """
         self.store.abandon()
         self.machine.elector = self.machine.coordinator = None
         self.store_error = error.line()
         self.host.log_event("freeze store failed", **error.table())
-        self.host.loop.call_later(STORE_RETRY_S, self.begin_again)
+        self.host.loop.call_later(STORE_RETRY_S, self.retry_start)
 
-    def begin_again(self) -> None:
-        """The store may be well again."""
+    def retry_start(self) -> None:
+        """Tries to start the machine again after an error of the store."""
         if self.stopped:
             return
         try:
-            self.begin(self.machine)
+            self.start_machine(self.machine)
         except LoadBalancerError:
-            self.host.loop.call_later(STORE_RETRY_S, self.begin_again)
+            self.host.loop.call_later(STORE_RETRY_S, self.retry_start)
 
     def send_message(self, send: Send) -> None:
         """Encodes and sends one message."""
         self.send(send.to, encode_datagram(self.host.name, send.message))
 
     def send(self, to: str, data: bytes) -> None:
-        """Sends a datagram to a member, if it can be reached."""
+        """Sends a datagram to a member; counts it as unsent if there is no channel or address."""
         address = self.host.member_address(to)
         if (
             self.channel is None
@@ -280,9 +323,9 @@
             self.counters.unsent += 1
 
     def arm_timer(self) -> None:
-        """One timer, for what is due next."""
+        """Sets the timer to the machine's next deadline."""
         due_at = self.machine.next_deadline()
-        if due_at is None or self.stopped:  # an answer may have stopped the feature
+        if due_at is None or self.stopped:  # a callback may have stopped the feature
             return
         if self.timer is None or due_at < self.timer_due_at:
             if self.timer is not None:
@@ -292,14 +335,14 @@
             self.timer = self.host.loop.call_later(delay_s, self.wake)
 
     def wake(self) -> None:
-        """The timer is due."""
+        """Runs the machine because the timer is due."""
         self.timer = None
-        self.work()
+        self.run_machine()
 
     # ---- periodic review, and evidence ----------------------------------------------------------------
 
     def look(self) -> None:
-        """Reviews each second the channel, the evidence, and whether this node is behind the others."""
+        """Reviews the channel, the evidence and whether this node is outdated, once per second."""
         self.review_timer = self.host.loop.call_later(REVIEW_INTERVAL_S, self.look)
         try:
             if self.channel is None:
@@ -308,14 +351,14 @@
         except LoadBalancerError:
             return  # there is no membership yet
         if self.machine.elector is not None:
-            self.machine.elector.vote_guard.disabled = self.is_behind(self.records)
+            self.machine.elector.vote_guard.disabled = self.is_outdated(self.records)
         if self.table.evidence:
             report = self.witness.report(self.host.now(), self.endpoint_list)
             self.records.put(RECORD_KIND, encode(report))
-            self.judge(self.records)
+            self.evaluate_reports(self.records)
 
-    def is_behind(self, records: Records) -> bool:
-        """Whether the audit finds this node behind the others; without an audit none is."""
+    def is_outdated(self, records: Records) -> bool:
+        """Returns whether the audit finds this node outdated; False where no audit runs."""
         own = records.get(self.host.name, audit_status.KIND)
         status = audit_status.decode(own.body) if own is not None else None
         return status is not None and (
@@ -323,8 +366,12 @@
             or status.quarantine is not audit_status.QuarantineState.SERVING
         )
 
-    def judge(self, records: Records) -> None:
-        """The coordinator puts the members' reports together."""
+    def evaluate_reports(self, records: Records) -> None:
+        """Evaluates the members' fault reports, if this node is the coordinator.
+
+        Args:
+            records: The members' records.
+        """
         coordinator, now = self.machine.coordinator, self.host.now()
         if coordinator is None or coordinator.current_term(now) is None:
             self.evidence = None
@@ -345,10 +392,10 @@
                 reports[record.owner] = report
         for verdict in self.evidence.evaluate(now, reports, self.host.cell_members()):
             coordinator.on_verdict(now, verdict, self.evidence_rules.severity)
-        self.work()
+        self.run_machine()
 
     def on_attempt_end(self, end: AttemptEnd) -> None:
-        """An attempt, for the evidence."""
+        """Records the outcome of an attempt for the fault report; cancelled attempts do not count."""
         if self.table.evidence and end.outcome != Outcome.CANCELLED:
             self.witness.record_attempt(
                 end.server,
@@ -357,7 +404,7 @@
             )
 
     def on_list_update(self, update: ListUpdate) -> None:
-        """Takes the zone of each server from the endpoint list."""
+        """Records the zone of each server in the endpoint list."""
         zones = self.witness.zones
         for line in update.lines:
             if line.state == EndpointState.GONE:
@@ -370,13 +417,13 @@
     def on_change_requested(
         self, change: Change, scope: str, then: AnswerCallback
     ) -> None:
-        """The node, or a feature, wants to change something; answered in ten seconds at most."""
+        """Requests approval of a change from the coordinator; `then` is called within ten seconds."""
         self.node_changes.request(change, scope, then)
 
     def on_change_made(
         self, change: Change, scope: str, grant: tuple[int, int] | None
     ) -> None:
-        """The node has made the change: its grant is given back."""
+        """Gives back the grant of a change that the node has made."""
         self.node_changes.finish(change, scope)
 
     def log_event(self, event: FreezeEvent) -> None:
@@ -391,21 +438,21 @@
     # ---- operators ------------------------------------------------------------------------------------
 
     def commands(self) -> dict[str, Callable[[dict[str, str]], CallResult]]:
-        """What operators may do, at any node."""
+        """Returns the commands of operators, which any node accepts."""
         return self.operator_calls.by_path()
 
     def pages(self) -> dict[str, Callable[[], tuple[bool, dict[str, Any]]]]:
-        """`/admin/freeze`: well while a coordinator has been heard lately."""
+        """Returns the page `/admin/freeze`; it is healthy if a coordinator was in contact recently."""
         return {"/admin/freeze": self.page}
 
     def page(self) -> tuple[bool, dict[str, Any]]:
-        """Who coordinates, what is open, what is being changed and what waits."""
+        """Returns whether the freeze is healthy, and its table: coordinator, incidents, changes, requests."""
         now = self.host.now()
         silence_s = freeze_page.silence_s(self.machine.client, now)
-        patience_s = 2 * self.rules.election.lease_us / 1e6 + REVIEW_INTERVAL_S
-        is_well = silence_s is not None and silence_s < patience_s
-        return is_well, freeze_page.page(self.machine, now, self.store_error)
+        max_silence_s = 2 * self.rules.election.lease_us / 1e6 + REVIEW_INTERVAL_S
+        is_healthy = silence_s is not None and silence_s < max_silence_s
+        return is_healthy, freeze_page.page(self.machine, now, self.store_error)
 
     def metrics(self) -> dict[str, Any]:
-        """Counts for the node's figures."""
-        return freeze_page.figures(self.machine, self.counters)
+        """Returns the table of the freeze for `/admin/stats`."""
+        return freeze_page.metrics(self.machine, self.counters)
--- a/loadbalancer/node/features/freeze_calls.py
+++ b/loadbalancer/node/features/freeze_calls.py
@@ -1,4 +1,4 @@
-"""What operators may POST about the freeze, at any node. The same call again tells what has become of it."""
+"""The calls by which operators control the change freeze at any node; a repeated call returns the outcome."""
 
 from __future__ import annotations
 
@@ -21,17 +21,18 @@
 from loadbalancer.freeze.scope import parse_scope
 from loadbalancer.node.features.feature import FeatureHost
 
-COMMAND_TIMEOUT_US = 30_000_000  # in which a command must find a coordinator
-MAX_TEXT_LENGTH = 160
-MAX_NAME_LENGTH = 64
-MAX_REMEMBERED = 256  # requests and commands, for repeated calls
-DEFAULT_DURATION_S = 60
-MAX_WAIT_S = 3600
-DEFAULT_SEVERITY, MIN_SEVERITY, MAX_SEVERITY = 2, 1, 3
+COMMAND_TIMEOUT_US = 30_000_000  # within which a command must reach a coordinator
+MAX_TEXT_LENGTH = 160  # in characters, of reasons and other free text
+MAX_NAME_LENGTH = 64  # in characters, of ids and names
+MAX_REMEMBERED = 256  # outcomes that are kept for repeated calls
+DEFAULT_DURATION_S = 60  # of an operator's change
+MAX_WAIT_S = 3600  # for which an operator's request may wait
+DEFAULT_SEVERITY, MIN_SEVERITY, MAX_SEVERITY = 2, 1, 3  # of an incident
 US_PER_S = 1_000_000
-NOT_ANSWERED = "nobody has answered yet"
+NOT_ANSWERED = "no coordinator has answered yet"
 
-STATUS = {
+# HTTP status of the response for each state of a request or command.
+STATUS_BY_STATE = {
     RequestState.ALLOWED: HTTPStatus.OK,
     RequestState.FINISHED: HTTPStatus.OK,
     RequestState.PENDING: HTTPStatus.ACCEPTED,
@@ -40,31 +41,43 @@
     RequestState.DEFERRED: HTTPStatus.SERVICE_UNAVAILABLE,
 }
 
+# HTTP status and table of the response to a call.
 CallResult = tuple[int, dict[str, Any]]
 
 
 class FreezeHost(Protocol):
-    """What the calls need of the feature."""
+    """The part of `FreezeFeature` that operators' calls and the node's requests use.
+
+    Attributes:
+        host: The services of the node.
+        machine: The pure state machine of this node.
+        rules: The rules of the state machine.
+    """
 
     host: FeatureHost
     machine: FreezeNode
     rules: FreezeRules
 
-    def do(self, actions: list[Action]) -> None:
+    def execute(self, actions: list[Action]) -> None:
         """Executes actions of the machine."""
 
 
 class OperatorCalls:
-    """Operators' requests and commands at this node, with their latest outcomes."""
+    """Operators' requests and commands at this node, with their latest outcomes.
+
+    Attributes:
+        feature: The feature that executes the actions of the state machine.
+        outcomes: The latest outcome of each request and command, by id.
+    """
 
     def __init__(self, feature: FreezeHost) -> None:
         self.feature = feature
         self.outcomes: dict[str, RequestOutcome] = {}
-        self._requests: set[str] = set()  # ids of requests; the others are commands
-        self._retry_at: dict[str, int] = {}  # by request, when to request again
+        self._requests: set[str] = set()  # ids of requests; other ids are commands
+        self._retry_at: dict[str, int] = {}  # by id, earliest next try in us
 
     def by_path(self) -> dict[str, Callable[[dict[str, str]], CallResult]]:
-        """The calls by path."""
+        """Returns the calls by path of the admin server."""
         return {
             "/admin/freeze/open": lambda values: self._incident("open", values),
             "/admin/freeze/close": lambda values: self._incident("close", values),
@@ -74,11 +87,11 @@
         }
 
     def is_request(self, request_id: str) -> bool:
-        """Whether an operator made this request here."""
+        """Returns whether an operator made this request at this node."""
         return request_id in self._requests
 
     def record(self, outcome: RequestOutcome) -> None:
-        """Keeps the latest outcome of an operator's request or command."""
+        """Stores the latest outcome of an operator's request or command; ignores other requests."""
         if outcome.id not in self._requests and outcome.id not in self.outcomes:
             return
         self.outcomes[outcome.id] = outcome
@@ -110,7 +123,7 @@
         )
         known = self.outcomes.get(command_id)
         if known is not None and known.state is not RequestState.PENDING:
-            # Told once; the same call later is a command of its own.
+            # The outcome is returned once; the same call afterwards is a new command.
             del self.outcomes[command_id]
             return self._result(command_id, known)
         if known is None:
@@ -118,11 +131,11 @@
             machine = self.feature.machine
             machine.client.outcomes.results.pop(command_id, None)
             now = self.feature.host.now()
-            self.feature.do(machine.command(now, command, COMMAND_TIMEOUT_US))
+            self.feature.execute(machine.command(now, command, COMMAND_TIMEOUT_US))
         return self._result(command_id, self.outcomes[command_id])
 
     def _request(self, values: dict[str, str]) -> CallResult:
-        """A change of an operator's, such as an upgrade."""
+        """Requests a change that an operator wants to make, such as an upgrade."""
         change = self._requested_change(values)
         known = self.outcomes.get(change.id)
         now = self.feature.host.now()
@@ -132,7 +145,7 @@
         ):
             self._requests.add(change.id)
             self._mark_pending(change.id)
-            self.feature.do(self.feature.machine.request(now, change))
+            self.feature.execute(self.feature.machine.request(now, change))
         return self._result(change.id, self.outcomes[change.id])
 
     def _requested_change(self, values: dict[str, str]) -> RequestedChange:
@@ -140,7 +153,7 @@
         kinds = {kind.value: kind for kind in Change}
         kind = kinds.get(values.get("kind", Change.UPGRADE.value))
         if kind is None:
-            raise FreezeError(f"one of {', '.join(kinds)}", "kind")
+            raise FreezeError(f"must be one of {', '.join(kinds)}", "kind")
         scope = parse_scope(values.get("scope", "*"))
         max_s = self.feature.rules.client.coordinator.max_duration_us // US_PER_S
         default_s = min(DEFAULT_DURATION_S, max_s)
@@ -157,33 +170,38 @@
         )
 
     def _done(self, values: dict[str, str]) -> CallResult:
-        """An operator's change is made, or no longer wanted."""
+        """Finishes an operator's change that has been made or is no longer wanted."""
         request_id = text_value(values, "id")
         if request_id not in self.outcomes:
             raise FreezeError(
-                "no request of this node has this id; ask the node that made it", "id"
+                "no request with this id was made at this node; send the call to the node that made it",
+                "id",
             )
         now = self.feature.host.now()
-        self.feature.do(self.feature.machine.finish(now, request_id, "made"))
+        self.feature.execute(self.feature.machine.finish(now, request_id, "made"))
         if self.outcomes[request_id].state in (
             RequestState.PENDING,
             RequestState.DEFERRED,
         ):
             self.outcomes[request_id] = RequestOutcome(
-                request_id, RequestState.FINISHED, "not wanted any more"
+                request_id, RequestState.FINISHED, "no longer wanted"
             )
         return self._result(request_id, self.outcomes[request_id])
 
     def _declare_reset(self, values: dict[str, str]) -> CallResult:
-        """An operator declares what the electors held gone for good."""
+        """Declares, for an operator, that the state of the other electors is lost for good."""
         elector = self.feature.machine.elector
         if elector is None or not elector.state_lost:
-            raise FreezeError("this node is no elector whose store was lost", "begin")
+            raise FreezeError(
+                "this node is not an elector that has lost its store", "begin"
+            )
         reason = text_value(values, "why")
         self.feature.host.log_event("freeze reset declared", reason=reason)
         now = self.feature.host.now()
-        self.feature.do(self.feature.machine.declare_reset(now))
-        state = "a majority that lost its stores begins anew"
+        self.feature.execute(self.feature.machine.declare_reset(now))
+        state = (
+            "reset declared; a majority of electors that lost their stores can resume"
+        )
         return HTTPStatus.ACCEPTED.value, {"state": state, "why": reason}
 
     def _mark_pending(self, request_id: str) -> None:
@@ -193,7 +211,7 @@
 
     def _result(self, request_id: str, outcome: RequestOutcome) -> CallResult:
         pending = self.feature.machine.client.pending.get(request_id)
-        return STATUS[outcome.state].value, {
+        return STATUS_BY_STATE[outcome.state].value, {
             "id": request_id,
             "state": outcome.state.value,
             "why": pending.reason if pending is not None else outcome.reason,
@@ -203,16 +221,21 @@
 
 
 def text_value(values: dict[str, str], key: str, default: str | None = None) -> str:
-    """A text of a call: printable ASCII, so that its length in a datagram is known.
+    """Returns a text parameter of a call, in printable ASCII, so that its length in a datagram is known.
+
+    Args:
+        values: The parameters of the call.
+        key: Name of the parameter.
+        default: The value if the parameter is missing; None if it is required.
 
     Raises:
-        FreezeError: It is missing, too long or has other characters.
+        FreezeError: The value is missing, empty, too long or has other characters.
     """
     value = values.get(key, default)
-    names = ("id", "call", "by", "mends")
-    max_length = MAX_NAME_LENGTH if key in names else MAX_TEXT_LENGTH
+    name_keys = ("id", "call", "by", "mends")
+    max_length = MAX_NAME_LENGTH if key in name_keys else MAX_TEXT_LENGTH
     if value is None:
-        raise FreezeError("missing", key)
+        raise FreezeError("the parameter is missing", key)
     if (
         not value.isascii()
         or not value.isprintable()
@@ -220,20 +243,31 @@
         or not 0 < len(value) <= max_length
     ):
         raise FreezeError(
-            f"1 to {max_length} printable ASCII characters without ~", key
+            f"must have 1 to {max_length} printable ASCII characters without ~", key
         )
     return value
 
 
 def number_value(
-    values: dict[str, str], key: str, default: int, least: int, most: int
+    values: dict[str, str], key: str, default: int, min_value: int, max_value: int
 ) -> int:
-    """A whole number of a call, from `least` to `most`.
+    """Returns an integer parameter of a call.
+
+    Args:
+        values: The parameters of the call.
+        key: Name of the parameter.
+        default: The value if the parameter is missing.
+        min_value: The smallest value that is accepted.
+        max_value: The largest value that is accepted.
 
     Raises:
-        FreezeError: It is no such number.
+        FreezeError: The value is not an integer in this range.
     """
     text = values.get(key, str(default))
-    if not text.isascii() or not text.isdigit() or not least <= int(text) <= most:
-        raise FreezeError(f"a whole number from {least} to {most}", key)
+    if (
+        not text.isascii()
+        or not text.isdigit()
+        or not min_value <= int(text) <= max_value
+    ):
+        raise FreezeError(f"must be an integer from {min_value} to {max_value}", key)
     return int(text)
--- a/loadbalancer/node/features/freeze_changes.py
+++ b/loadbalancer/node/features/freeze_changes.py
@@ -1,4 +1,4 @@
-"""Changes that the node itself or one of its features wants to make, and the outcomes of all requests."""
+"""Requests for changes that the node or one of its features wants to make, and all outcomes."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from loadbalancer.node.features.freeze_calls import FreezeHost, OperatorCalls
 from loadbalancer.node.features.freeze_page import HostCounters
 
-DEFAULT_RETRY_AFTER_S = 1.0
-MAX_REMEMBERED = 256
-NODE_ID_LENGTH = 32
-# How long a change of the node's own may take, in microseconds; most end sooner and are given back.
+DEFAULT_RETRY_AFTER_S = 1.0  # where the outcome of a request names no delay
+MAX_REMEMBERED = 256  # requests that are remembered so that each is logged once
+NODE_ID_LENGTH = 32  # characters of the node's name in the id of a request
+# Maximum duration of the node's own changes, in microseconds; most finish earlier and return their grant.
 MAX_DURATION_US = {
     Change.SETTINGS: 10_000_000,
     Change.OPERATION: 10_000_000,
@@ -32,15 +32,18 @@
 }
 
 AnswerCallback = Callable[[Answer], None]
-ChangeKey = tuple[Change, str]  # kind and scope
+ChangeKey = tuple[Change, str]  # kind and scope of a change
 
 
 class NodeChanges:
     """The node's own requests, and the log of all outcomes.
 
     Attributes:
-        incarnation: Tells the requests of this process from those of an earlier one.
-        members_digest: Changes of placement under one digest of the members are one plan.
+        feature: The feature that executes the actions of the state machine.
+        operator_calls: The calls of operators, which receive the outcomes of their requests.
+        counters: The counters of the feature.
+        incarnation: Part of each request id, which distinguishes this process from earlier ones.
+        members_digest: Digest of the members; changes of placement with the same digest belong to one plan.
     """
 
     def __init__(
@@ -51,13 +54,19 @@
         self.incarnation = ""
         self.members_digest = ""
         self._callbacks: dict[str, list[AnswerCallback]] = {}  # by request
-        self._requests: dict[ChangeKey, str] = {}
+        self._requests: dict[ChangeKey, str] = {}  # ids of requests
         self._request_count = 0
-        self._begun: dict[str, None] = {}
-        self._logged_reasons: dict[str, str] = {}  # by request, why it waits
+        self._logged_starts: dict[str, None] = {}  # ids of started changes
+        self._logged_reasons: dict[str, str] = {}  # by request
 
     def request(self, change: Change, scope: str, callback: AnswerCallback) -> None:
-        """Requests a change; a repeated request for what is on its way gets the same answer."""
+        """Requests a change; a repeated request for a pending change receives the same answer.
+
+        Args:
+            change: Kind of the change.
+            scope: What it affects.
+            callback: Called with the answer.
+        """
         request_id = self._requests.get((change, scope))
         if request_id is not None and request_id in self._callbacks:
             self._callbacks[request_id].append(callback)
@@ -71,29 +80,29 @@
         requested = RequestedChange(
             request_id,
             change,
-            _readable_scope(scope),
+            _parse_scope_or_all(scope),
             min(MAX_DURATION_US[change], max_duration_us),
             plan=f"place-{self.members_digest}" if is_planned else "",
         )
-        self.feature.do(machine.request(self.feature.host.now(), requested))
+        self.feature.execute(machine.request(self.feature.host.now(), requested))
 
     def _new_id(self, change: Change) -> str:
-        """An id for a request, unique among all nodes and their incarnations."""
+        """Returns an id for a request that is unique among all nodes and their incarnations."""
         self._request_count += 1
         node = self.feature.host.name[:NODE_ID_LENGTH]
         return f"{node}.{change.value}.{self.incarnation}.{self._request_count}"
 
     def finish(self, change: Change, scope: str) -> None:
-        """The node has made the change: its grant is given back."""
+        """Gives back the grant of a change that the node has made."""
         request_id = self._requests.pop((change, scope), None)
         if request_id is not None:
             now = self.feature.host.now()
-            self.feature.do(self.feature.machine.finish(now, request_id, "made"))
+            self.feature.execute(self.feature.machine.finish(now, request_id, "made"))
 
     # ---- outcomes -------------------------------------------------------------------------------------
 
     def report(self, outcome: RequestOutcome) -> None:
-        """Logs an outcome, and answers whoever asked; operators ask for theirs again."""
+        """Logs an outcome and calls the callbacks of its request; operators repeat their call instead."""
         self._log(outcome)
         self.operator_calls.record(outcome)
         answer = Answer(
@@ -114,7 +123,7 @@
         }
         host = self.feature.host
         if outcome.state is RequestState.ALLOWED:
-            self._log_begin(outcome, fields)
+            self._log_start(outcome, fields)
         elif outcome.state is RequestState.REVOKED:
             self.counters.revoked += 1
             host.log_event("freeze change revoked", **fields)
@@ -137,14 +146,14 @@
             if request_id != finished_id
         }
 
-    def _log_begin(self, outcome: RequestOutcome, fields: dict[str, Any]) -> None:
-        """Counts and logs once that a change begins; an operator's command is none."""
+    def _log_start(self, outcome: RequestOutcome, fields: dict[str, Any]) -> None:
+        """Counts and logs the start of a change once; an operator's command is not a change."""
         is_change = outcome.id in self._callbacks or self.operator_calls.is_request(
             outcome.id
         )
-        if not is_change or outcome.id in self._begun:
+        if not is_change or outcome.id in self._logged_starts:
             return
-        _remember(self._begun, outcome.id, None)
+        _remember(self._logged_starts, outcome.id, None)
         self.counters.begun += 1
         self.counters.without_grant += outcome.token is None
         active = self.feature.machine.client.active.get(outcome.id)
@@ -161,8 +170,8 @@
         self.feature.host.log_event("freeze change started", **fields)
 
 
-def _readable_scope(text: str) -> Scope:
-    """The scope in `text`; everything, if it cannot be read."""
+def _parse_scope_or_all(text: str) -> Scope:
+    """Returns the scope that `text` describes; the scope of everything if it cannot be parsed."""
     try:
         return parse_scope(text)
     except FreezeError:
@@ -170,7 +179,7 @@
 
 
 def _remember(entries: dict[str, Any], key: str, value: Any) -> None:
-    """Adds an entry, and drops the oldest beyond `MAX_REMEMBERED`."""
+    """Adds an entry, and removes the oldest if there are more than `MAX_REMEMBERED`."""
     entries[key] = value
     if len(entries) > MAX_REMEMBERED:
         del entries[next(iter(entries))]
--- a/loadbalancer/node/features/freeze_page.py
+++ b/loadbalancer/node/features/freeze_page.py
@@ -1,4 +1,4 @@
-"""The freeze in figures: the page `/admin/freeze` and the node's figures. Keys are published."""
+"""The tables of the change freeze for `/admin/freeze` and `/admin/stats`. Keys are published."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @dataclass
 class HostCounters:
-    """What the host counts.
+    """Counters of the freeze feature.
 
     Attributes:
-        begun: Changes that have begun.
-        without_grant: Those of them that had no coordinator to ask.
-        revoked: Changes that were told to stop.
+        begun: Changes that have started.
+        without_grant: Changes that started without a grant, because no coordinator could be reached.
+        revoked: Changes whose grant was revoked.
         unsent: Datagrams that could not be sent.
         writes: Writes of the elector's record.
-        slowest_write_ms: The slowest of them, in milliseconds.
+        slowest_write_ms: Duration of the slowest write, in milliseconds.
     """
 
     begun: int = 0
@@ -36,7 +36,12 @@
 
 
 def silence_s(client: FreezeClient, now: int) -> float | None:
-    """Seconds since a coordinator was last heard; None if never."""
+    """Returns the seconds since the last contact with a coordinator; None if there was none.
+
+    Args:
+        client: The client of the change freeze.
+        now: Monotonic microseconds.
+    """
     return (
         (now - client.locator.last_contact_at) / 1e6
         if client.locator.last_contact_at
@@ -45,7 +50,13 @@
 
 
 def page(machine: FreezeNode, now: int, store_error: str) -> dict[str, Any]:
-    """Who coordinates, what is open, what is being changed and what waits; durations in seconds."""
+    """Returns the table of `/admin/freeze`: coordinator, open incidents, active changes, pending requests.
+
+    Args:
+        machine: The state machine of this node.
+        now: Monotonic microseconds.
+        store_error: The error of the store; empty if there is none.
+    """
     client, silence = machine.client, silence_s(machine.client, now)
     table: dict[str, Any] = {
         "coordinator": client.locator.coordinator or None,
@@ -141,8 +152,13 @@
     }
 
 
-def figures(machine: FreezeNode, counters: HostCounters) -> dict[str, Any]:
-    """The node's figures of the freeze."""
+def metrics(machine: FreezeNode, counters: HostCounters) -> dict[str, Any]:
+    """Returns the table of the freeze for `/admin/stats`.
+
+    Args:
+        machine: The state machine of this node.
+        counters: The counters of the feature.
+    """
     client, elector, coordinator = (
         machine.client,
         machine.elector,
--- a/loadbalancer/node/features/freeze_store.py
+++ b/loadbalancer/node/features/freeze_store.py
@@ -1,4 +1,4 @@
-"""The elector's record in the node's store: one write at a time, and messages that wait for it."""
+"""Writes the elector's record to the node's store, one write at a time, and holds back dependent messages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,15 @@
 
 
 class ElectorStore:
-    """Writes saves in a thread of its own, and holds back the messages that must not precede them."""
+    """Writes saves in a separate thread, and holds back the messages that must not be sent before them.
+
+    Attributes:
+        host: The services of the node.
+        counters: The counters of the feature.
+        on_stored: Called with the number of a stored save and the messages that waited for it.
+        on_error: Called when the store cannot be written.
+        store: The node's store; None before `open`.
+    """
 
     def __init__(
         self,
@@ -27,11 +35,11 @@
         on_stored: Callable[[int, list[Send]], None],
         on_error: Callable[[LoadBalancerError], None],
     ) -> None:
-        """Opens nothing yet.
+        """Prepares the object; `open` opens the store.
 
         Args:
-            host: The node.
-            counters: Where writes are counted.
+            host: The services of the node.
+            counters: The counters of the feature, which include writes.
             on_stored: Called with the number of the save that is stored and the messages that waited for it.
             on_error: Called when the store cannot be written.
         """
@@ -39,57 +47,57 @@
         self.on_stored, self.on_error = on_stored, on_error
         self.store: Store | None = None
         self._worker: StoreWorker | None = None
-        self._generation = 0  # a write of an earlier machine counts for nothing
+        self._generation = 0  # results of writes of earlier generations are ignored
         self._writing: Save | None = None
         self._next: Save | None = None
         self._stored_number = 0
-        self._parked: list[Send] = []
+        self._held_back: list[Send] = []
 
     @property
     def durable(self) -> bool | None:
-        """Whether the store outlasts the process; None where this node has none."""
+        """Whether the content of the store survives the process; None before `open`."""
         return self.store.durable if self.store is not None else None
 
     def abandon(self) -> None:
-        """The store has failed: forgets what is under way."""
+        """Discards pending writes and messages, because the store has failed."""
         self._generation += 1
-        self._writing, self._next, self._parked = None, None, []
+        self._writing, self._next, self._held_back = None, None, []
 
     def restart(self) -> None:
-        """A new machine begins: forgets what is under way, and numbers saves from the beginning."""
+        """Discards pending writes and messages, and restarts the numbering of saves for a new machine."""
         self.abandon()
         self._stored_number = 0
 
     def open(self) -> bytes | None:
-        """Opens the store and reads the record; None if there is none.
+        """Opens the store and returns the record; None if there is none.
 
         Raises:
-            LoadBalancerError: The store cannot be had.
-            StoreCorruptError: It can be had, but the record cannot be read.
+            LoadBalancerError: The store cannot be opened.
+            StoreCorruptError: The store is open, but the record cannot be read.
         """
         self.store = self.host.store()
         self._worker = self._worker or StoreWorker(self.store, self.host.loop)
         return self.store.get(RECORD_NAME)
 
     def close(self) -> None:
-        """Leaves the worker; a write under way counts for nothing."""
+        """Detaches from the worker thread; the result of a write in progress is ignored."""
         self._generation += 1
         if self._worker is not None:
             self._worker.detach()
 
     def save(self, save: Save) -> None:
-        """Has this save written next; it supersedes one that waits."""
+        """Schedules a save as the next write; it replaces a save that waits."""
         self._next = save
 
     def hold_back(self, send: Send) -> bool:
-        """Keeps a message until its save is stored; returns False if it may go at once."""
+        """Holds a message back until its save is stored; returns False if it may be sent immediately."""
         if send.after_save <= self._stored_number:
             return False
-        self._parked.append(send)
+        self._held_back.append(send)
         return True
 
     def write_next(self) -> None:
-        """Starts the write that waits, if none is under way."""
+        """Starts the pending write, unless another one is in progress."""
         if self._next is None or self._writing is not None:
             return
         assert self._worker is not None
@@ -124,6 +132,8 @@
             self.counters.slowest_write_ms, duration_ms
         )
         self._writing, self._stored_number = None, save.number
-        ready = [send for send in self._parked if send.after_save <= save.number]
-        self._parked = [send for send in self._parked if send.after_save > save.number]
+        ready = [send for send in self._held_back if send.after_save <= save.number]
+        self._held_back = [
+            send for send in self._held_back if send.after_save > save.number
+        ]
         self.on_stored(save.number, ready)
