--- a/loadbalancer/node/features/audit.py
+++ b/loadbalancer/node/features/audit.py
@@ -49,7 +49,7 @@
 from loadbalancer.records.interface import Records
 from loadbalancer.transports.interface import Address
 
-CHANNEL_TAG = 2  # of the channel to other nodes' audits
+CHANNEL_TAG = 2  # tag of the channel to other nodes' audits
 TICK_S = 0.25  # between two observations of the fleet
 MEMBERSHIP_RETRY_S = 1.0  # between two attempts to open the records and the channel
 # The pause between two writes of the ledger, in multiples of the last write's duration: writes take at most
--- a/loadbalancer/node/features/audit_endpoints.py
+++ b/loadbalancer/node/features/audit_endpoints.py
@@ -40,7 +40,7 @@
         self.local = LocalState()
         self.versions: tuple[VersionId, ...] = ()
         self.endpoints: dict[str, Line] = {}
-        # The parts received so far of a complete list that arrives in parts.
+        # The endpoints received so far of a complete list that arrives in parts; None between such lists.
         self._incomplete: dict[str, Line] | None = None
         # Lines adopted from others, by name, until this node's discovery reports the endpoint.
         self._adopted: dict[str, Line] = {}
--- a/loadbalancer/node/features/audit_status_exchange.py
+++ b/loadbalancer/node/features/audit_status_exchange.py
@@ -105,7 +105,7 @@
         self.versions: dict[VersionSource, Version] = {}
         self._published = b""
         self._chain = PublishedChain()
-        self._membership_epoch = 0  # as published with the chain
+        self._membership_epoch = 0  # updated together with `_chain`
 
     def forget(self) -> None:
         """Makes `publish` publish the next status in any case, because the record has been withdrawn."""
--- a/loadbalancer/node/features/freeze.py
+++ b/loadbalancer/node/features/freeze.py
@@ -53,7 +53,7 @@
 from loadbalancer.stores.interface import StoreCorruptError
 from loadbalancer.transports.interface import Address, Transport
 
-CHANNEL_TAG = 4  # of the channel to other nodes' freeze features
+CHANNEL_TAG = 4  # tag of the channel to other nodes' freeze features
 STORE_RETRY_S = 1.0  # between two attempts to start again after an error of the store
 # Between two reviews of the channel, the evidence and this node's health.
 REVIEW_INTERVAL_S = 1.0
--- a/loadbalancer/node/features/freeze_calls.py
+++ b/loadbalancer/node/features/freeze_calls.py
@@ -25,9 +25,9 @@
 MAX_TEXT_LENGTH = 160  # in characters, of reasons and other free text
 MAX_NAME_LENGTH = 64  # in characters, of ids and names
 MAX_REMEMBERED = 256  # outcomes that are kept for repeated calls
-DEFAULT_DURATION_S = 60  # of an operator's change
-MAX_WAIT_S = 3600  # for which an operator's request may wait
-DEFAULT_SEVERITY, MIN_SEVERITY, MAX_SEVERITY = 2, 1, 3  # of an incident
+DEFAULT_DURATION_S = 60  # default duration of an operator's change
+MAX_WAIT_S = 3600  # maximum time that an operator's request may wait
+DEFAULT_SEVERITY, MIN_SEVERITY, MAX_SEVERITY = 2, 1, 3  # severity of an incident
 US_PER_S = 1_000_000
 NOT_ANSWERED = "no coordinator has answered yet"
 
@@ -74,7 +74,7 @@
         self.feature = feature
         self.outcomes: dict[str, RequestOutcome] = {}
         self._requests: set[str] = set()  # ids of requests; other ids are commands
-        self._retry_at: dict[str, int] = {}  # by id, earliest next try in us
+        self._retry_at: dict[str, int] = {}  # by id, earliest time in us
 
     def by_path(self) -> dict[str, Callable[[dict[str, str]], CallResult]]:
         """Returns the calls by path of the admin server."""
--- a/loadbalancer/node/features/freeze_changes.py
+++ b/loadbalancer/node/features/freeze_changes.py
@@ -17,7 +17,7 @@
 from loadbalancer.node.features.freeze_calls import FreezeHost, OperatorCalls
 from loadbalancer.node.features.freeze_page import HostCounters
 
-DEFAULT_RETRY_AFTER_S = 1.0  # where the outcome of a request names no delay
+DEFAULT_RETRY_AFTER_S = 1.0  # used where the outcome of a request names no delay
 MAX_REMEMBERED = 256  # requests that are remembered so that each is logged once
 NODE_ID_LENGTH = 32  # characters of the node's name in the id of a request
 # Maximum duration of the node's own changes, in microseconds; most finish earlier and return their grant.
@@ -154,7 +154,7 @@
         if not is_change or outcome.id in self._logged_starts:
             return
         _remember(self._logged_starts, outcome.id, None)
-        self.counters.begun += 1
+        self.counters.started += 1
         self.counters.without_grant += outcome.token is None
         active = self.feature.machine.client.active.get(outcome.id)
         if active is not None:
--- a/loadbalancer/node/features/freeze_page.py
+++ b/loadbalancer/node/features/freeze_page.py
@@ -19,7 +19,7 @@
     """Counters of the freeze feature.
 
     Attributes:
-        begun: Changes that have started.
+        started: Changes that have started.
         without_grant: Changes that started without a grant, because no coordinator could be reached.
         revoked: Changes whose grant was revoked.
         unsent: Datagrams that could not be sent.
@@ -27,7 +27,7 @@
         slowest_write_ms: Duration of the slowest write, in milliseconds.
     """
 
-    begun: int = 0
+    started: int = 0
     without_grant: int = 0
     revoked: int = 0
     unsent: int = 0
@@ -170,7 +170,7 @@
         "incidents": len(client.open_incidents()),
         "changes": len(client.active),
         "waiting": len(client.pending),
-        "begun": counters.begun,
+        "begun": counters.started,
         "alone": counters.without_grant,
         "halted": counters.revoked,
         "stale_words": client.locator.stale_messages,
