--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,7 @@
-"""The seam: what parts are told, what they may hold up, and that nothing of it is there without them."""
+"""The feature host: the calls that features receive, the changes they may defer, and errors in features.
+
+Without features none of their modules may be imported.
+"""
 
 from __future__ import annotations
 
@@ -36,53 +39,53 @@
 from loadbalancer.policy.api import EndpointState, ListUpdateKind, Outcome
 from loadbalancer.policy.zone_failover import ZoneFailover
 
-LOOK = settings(derandomize=True, max_examples=400, deadline=None)
+PROPERTY_SETTINGS = settings(derandomize=True, max_examples=400, deadline=None)
 ROOT = Path(__file__).parent.parent
 
 
-class Wish(Table, frozen=True):
+class FeatureTable(Table, frozen=True):
     number: int = 0
 
 
-class Wide(OperatorConfig, frozen=True):
-    """An operators' file with tables for the parts of these tests."""
+class ExtendedConfig(OperatorConfig, frozen=True):
+    """An operator configuration with tables for the features of these tests."""
 
-    dummy: Wish | None = None
-    other: Wish | None = None
+    dummy: FeatureTable | None = None
+    other: FeatureTable | None = None
 
 
-class Dummy(Feature):
-    """Notes each call; says no while `no` is set, raises where `raises` says."""
+class RecordingFeature(Feature):
+    """Records each call; rejects changes while `rejection` is set, and raises in the method `raises_in`."""
 
     name = "dummy"
-    made_ones: list[Dummy] = []
+    instances: list[RecordingFeature] = []
 
     def __init__(self) -> None:
-        self.seen: list[tuple[Any, ...]] = []
-        self.no = ""
-        self.raises = ""
-        self.made_ones.append(self)
+        self.calls: list[tuple[Any, ...]] = []
+        self.rejection = ""
+        self.raises_in = ""
+        self.instances.append(self)
 
-    def note(self, *what: Any) -> None:
-        if what[0] == self.raises:
+    def record(self, *what: Any) -> None:
+        if what[0] == self.raises_in:
             raise ValueError("a mistake")
-        self.seen.append(what)
+        self.calls.append(what)
 
     def start(self, host: FeatureHost) -> None:
         self.host = host
-        self.note("start")
+        self.record("start")
 
     def on_change_requested(
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
-        self.note("on_change_requested", change, scope)
-        then(Answer(not self.no, self.no, 0.1, (3, 7)))
+        self.record("on_change_requested", change, scope)
+        then(Answer(not self.rejection, self.rejection, 0.1, (3, 7)))
 
     def metrics(self) -> dict[str, Any]:
-        return {"seen": len(self.seen)}
+        return {"seen": len(self.calls)}
 
     def pages(self) -> Any:
-        return {"/admin/dummy": lambda: (True, {"calls": len(self.seen)})}
+        return {"/admin/dummy": lambda: (True, {"calls": len(self.calls)})}
 
     def commands(self) -> Any:
         def act(values: dict[str, str]) -> tuple[int, dict[str, Any]]:
@@ -93,7 +96,7 @@
         return {"/admin/dummy": act}
 
 
-NOTED = (
+RECORDED_METHODS = (
     "stop",
     "reload",
     "on_version",
@@ -101,26 +104,32 @@
     "on_attempt_end",
     "on_change_made",
 )
-for name in NOTED:
-    setattr(Dummy, name, lambda self, *what, name=name: self.note(name, *what))
+for name in RECORDED_METHODS:
+    setattr(
+        RecordingFeature, name, lambda self, *what, name=name: self.record(name, *what)
+    )
 
 
-class Other(Feature):
-    """A part with no say and no ears."""
+class PassiveFeature(Feature):
+    """A feature that overrides no method: it neither approves changes nor follows events."""
 
 
 @pytest.fixture(autouse=True)
 def registered(monkeypatch: pytest.MonkeyPatch) -> None:
-    dummy = registry.FeatureEntry("dummy", f"{__name__}:Dummy", needs_peers=True)
-    other = registry.FeatureEntry("other", f"{__name__}:Other", required_table="dummy")
+    dummy = registry.FeatureEntry(
+        "dummy", f"{__name__}:RecordingFeature", needs_peers=True
+    )
+    other = registry.FeatureEntry(
+        "other", f"{__name__}:PassiveFeature", required_table="dummy"
+    )
     monkeypatch.setattr(registry, "FEATURES", [*registry.FEATURES, dummy, other])
-    Dummy.made_ones.clear()
+    RecordingFeature.instances.clear()
 
 
 async def bench_with(
     operation: OperatorConfig | None, *servers: Server, **config: Any
 ) -> Bench:
-    """A node whose operators' file was there from the start."""
+    """Starts a node that has an operator configuration from its start."""
     bench = Bench(*servers, config={"control": "127.0.0.1:0"} | config)
     with patch("loopback.Node", lambda config, loop: Node(config, loop, operation)):
         return await bench.start()
@@ -149,19 +158,21 @@
     )
 
 
-def versions(part: Dummy) -> list[Version]:
-    return [what[1] for what in part.seen if what[0] == "on_version"]
+def versions(feature: RecordingFeature) -> list[Version]:
+    return [what[1] for what in feature.calls if what[0] == "on_version"]
 
 
 def names(seen: list[tuple[Any, ...]]) -> list[str]:
     return [what[0] for what in seen]
 
 
-async def test_a_part_sees_every_call_in_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    bench = await bench_with(Wide(dummy=Wish()), Server())
-    node, (part,) = bench.node, Dummy.made_ones
-    # The list is told before the first attempt under it, and the version with it.
-    assert names(part.seen) == [
+async def test_a_feature_receives_every_call_in_order(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    bench = await bench_with(ExtendedConfig(dummy=FeatureTable()), Server())
+    node, (feature,) = bench.node, RecordingFeature.instances
+    # The list and its version are announced before the first attempt that uses the list.
+    assert names(feature.calls) == [
         "start",
         "on_version",
         "on_version",
@@ -169,63 +180,67 @@
         "on_list_update",
         "on_version",
     ]
-    told = [
+    expected_sources = [
         VersionSource.PROGRAM,
         VersionSource.SETTINGS,
         VersionSource.OPERATION,
         VersionSource.LIST,
     ]
-    assert [v.source for v in versions(part)] == told
-    news = part.seen[4][1]
-    assert news.version.number == 41
-    assert [x.id for x in news.lines] == ["s0"]
-    assert not news.more
-    assert news.version.origin == f"127.0.0.1:{bench.discovery.port}"
-    assert len(news.version.digest) == 16
-    before = part.host.now()
+    assert [v.source for v in versions(feature)] == expected_sources
+    update = feature.calls[4][1]
+    assert update.version.number == 41
+    assert [x.id for x in update.lines] == ["s0"]
+    assert not update.more
+    assert update.version.origin == f"127.0.0.1:{bench.discovery.port}"
+    assert len(update.version.digest) == 16
+    before = feature.host.now()
     assert (await bench.once(call()))[0] == 200
-    end = part.seen[-1][1]
+    end = feature.calls[-1][1]
     assert (end.server, end.class_name, end.outcome) == ("s0", "view", Outcome.OK)
     assert before <= end.started_at_us + 1
-    assert end.started_at_us <= end.ended_at_us <= part.host.now()
-    del part.seen[:]
-    node.reload(node.config, Wide(dummy=Wish(number=1), other=Wish()))
-    assert names(part.seen) == [
+    assert end.started_at_us <= end.ended_at_us <= feature.host.now()
+    del feature.calls[:]
+    node.reload(
+        node.config, ExtendedConfig(dummy=FeatureTable(number=1), other=FeatureTable())
+    )
+    assert names(feature.calls) == [
         "on_change_requested",
         "reload",
         "on_version",
         "on_change_made",
     ]
-    assert part.seen[-1] == (
+    assert feature.calls[-1] == (
         "on_change_made",
         Change.OPERATION,
         "tier=0,zone=here",
         (3, 7),
     )
-    part.host.request_change(
-        Change.SHUT_OUT, "n0", lambda answer: part.seen.append(("answer", answer))
+    feature.host.request_change(
+        Change.SHUT_OUT, "n0", lambda answer: feature.calls.append(("answer", answer))
     )
     shut_out = ("on_change_requested", Change.SHUT_OUT, "tier=0,zone=here")
-    assert part.seen[-2:] == [shut_out, ("answer", Answer(True, fencing_token=(3, 7)))]
+    assert feature.calls[-2:] == [
+        shut_out,
+        ("answer", Answer(True, fencing_token=(3, 7))),
+    ]
     monkeypatch.setattr(
         registry,
         "FEATURES",
         [replace(x, restart_on_change=True) for x in registry.FEATURES],
     )
-    node.reload(
-        node.config, Wide(dummy=Wish(number=2))
-    )  # one that begins anew is told what is in force
-    _, part = Dummy.made_ones
-    assert news.version in versions(part)
-    assert node.feature_host.events.known_endpoints.digest() == news.version.digest
+    # A restarted feature receives the versions in force.
+    node.reload(node.config, ExtendedConfig(dummy=FeatureTable(number=2)))
+    _, feature = RecordingFeature.instances
+    assert update.version in versions(feature)
+    assert node.feature_host.events.known_endpoints.digest() == update.version.digest
     node.reload(node.config, None)
-    assert part.seen[-1] == ("stop", True)
+    assert feature.calls[-1] == ("stop", True)
     assert node.on_ended is None
     assert (await asked(node, "GET /admin/dummy"))[0] == 404
 
 
-async def test_figures_pages_and_calls_stand_at_the_control_listener() -> None:
-    bench = await bench_with(Wide(dummy=Wish()))
+async def test_the_control_listener_serves_metrics_pages_and_commands() -> None:
+    bench = await bench_with(ExtendedConfig(dummy=FeatureTable()))
     node = bench.node
     assert (await asked(node, "GET /admin/stats"))[1]["dummy"]["seen"] > 0
     assert (await asked(node, "GET /admin/dummy"))[0] == 200
@@ -244,67 +259,73 @@
 
 
 @pytest.mark.parametrize(
-    "where", [*NOTED, "start", "on_change_requested", "key_of", "hit_of"]
+    "where", [*RECORDED_METHODS, "start", "on_change_requested", "key_of", "hit_of"]
 )
-async def test_a_part_that_raises_is_stopped_and_the_node_serves_on(
+async def test_a_feature_that_raises_is_stopped_and_the_node_keeps_serving(
     where: str, capfd: Any, monkeypatch: Any
 ) -> None:
-    plain = Dummy.__init__
+    plain = RecordingFeature.__init__
 
-    def broken(self: Dummy) -> None:
+    def broken(self: RecordingFeature) -> None:
         plain(self)
-        self.raises = where
-        self.key_of = lambda message: self.note("key_of")
-        self.hit_of = lambda answer: self.note("hit_of")
+        self.raises_in = where
+        self.key_of = lambda message: self.record("key_of")
+        self.hit_of = lambda answer: self.record("hit_of")
 
-    monkeypatch.setattr(Dummy, "__init__", broken)
-    bench = await bench_with(Wide(dummy=Wish()), Server())
+    monkeypatch.setattr(RecordingFeature, "__init__", broken)
+    bench = await bench_with(ExtendedConfig(dummy=FeatureTable()), Server())
     node = bench.node
     assert (await bench.once(call()))[0] == 200
-    wish = Wide(dummy=Wish(number=1)) if where != "stop" else Wide()
-    monkeypatch.setattr(Dummy, "__init__", plain)
-    node.reload(node.config, wish)
-    assert node.operation == wish  # what it raised at has held up nothing
+    new_config = (
+        ExtendedConfig(dummy=FeatureTable(number=1))
+        if where != "stop"
+        else ExtendedConfig()
+    )
+    monkeypatch.setattr(RecordingFeature, "__init__", plain)
+    node.reload(node.config, new_config)
+    assert node.operation == new_config  # the exception has not deferred the reload
     assert (await bench.once(call()))[0] == 200
     node.reload(node.config, node.operation)
     assert node.feature_host is not None
     assert len(node.feature_host.features) == (
         where != "stop"
     )  # SIGHUP has started it again
-    said = capfd.readouterr().err
+    log = capfd.readouterr().err
     event = "feature stopped" if where != "stop" else "feature stop failed"
-    assert f"{event} name=dummy reason=" in said
-    assert "ValueError: a mistake" in said
+    assert f"{event} name=dummy reason=" in log
+    assert "ValueError: a mistake" in log
 
 
-async def test_a_part_that_cannot_be_had_is_named_with_what_to_do(
+async def test_an_unavailable_feature_is_logged_with_its_reason_and_remedy(
     capfd: Any, monkeypatch: Any
 ) -> None:
-    bench = await bench_with(Wide(other=Wish()))
+    bench = await bench_with(ExtendedConfig(other=FeatureTable()))
     await until(bench.node.ready)
     assert not bench.node.feature_host.features
     closed = await Bench(policy_limits={"peers": False}).start()
-    closed.node.reload(closed.node.config, Wide(dummy=Wish()))
-    assert not Dummy.made_ones
+    closed.node.reload(closed.node.config, ExtendedConfig(dummy=FeatureTable()))
+    assert not RecordingFeature.instances
     monkeypatch.setattr(
-        registry, "FEATURES", [registry.FeatureEntry("other", f"{__name__}:Talker")]
+        registry,
+        "FEATURES",
+        [registry.FeatureEntry("other", f"{__name__}:ChannelFeature")],
     )
-    bench = await bench_with(Wide(other=Wish()))
+    bench = await bench_with(ExtendedConfig(other=FeatureTable()))
     await until(bench.node.ready)
     assert not bench.node.feature_host.features
-    said = capfd.readouterr().err
-    assert "feature disabled name=other reason=it needs [dummy], which is off" in said
+    log = capfd.readouterr().err
+    assert "feature disabled name=other reason=it needs [dummy], which is off" in log
     assert (
         "feature disabled name=dummy reason=the platform's policy_limits.peers is false"
-        in said
+        in log
     )
     assert (
         "there is no membership -- add the table that the feature needs (this message names it)"
-        in said
+        in log
     )
 
 
-def test_without_parts_nothing_of_them_is_imported() -> None:
+def test_without_features_none_of_their_modules_is_imported() -> None:
     code = (
         "import sys, asyncio; sys.path[:0] = ['tests']; from loopback import Bench, Server, call, play\n"
         "async def scene():\n"
@@ -326,7 +347,7 @@
     assert done.stdout.strip() == "[]"
 
 
-async def test_parts_that_stand_in_the_module_do_not_push_each_other_out() -> None:
+async def test_features_that_configure_the_balancer_run_together() -> None:
     keys = {"shards": {"keys": {"view": "path 2"}}, "zones": {}, "storms": {}}
     bench = await bench_with(build(keys, "operator.toml"), Server())
     balancer = bench.node.balancer
@@ -335,112 +356,114 @@
     assert balancer.admission.retry_storm is not None
 
 
-# ---- changes that wait ------------------------------------------------------------------------------------
+# ---- deferred changes -------------------------------------------------------------------------------------
 
 
-async def test_a_reload_waits_until_all_let_it_and_a_later_takes_its_place(
+async def test_a_reload_waits_for_approval_and_a_later_one_replaces_it(
     capfd: Any,
 ) -> None:
-    bench = await bench_with(Wide(dummy=Wish()), Server())
-    node, (part,) = bench.node, Dummy.made_ones
-    part.no = "the change freeze holds, for incident 4; close it"
+    bench = await bench_with(ExtendedConfig(dummy=FeatureTable()), Server())
+    node, (feature,) = bench.node, RecordingFeature.instances
+    feature.rejection = "the change freeze holds, for incident 4; close it"
     first = replace(node.config, idle_time=node.config.idle_time + 1)
     last = replace(node.config, idle_time=node.config.idle_time + 2)
     node.reload(first, node.operation)
     assert node.config.idle_time == first.idle_time - 1
     assert node.metrics.sighup_applied == 0
     waiting = (await asked(node, "GET /admin/stats"))[1]["waiting"]
-    assert [w["why"] for w in waiting] == [part.no]
+    assert [w["why"] for w in waiting] == [feature.rejection]
     node.reload(last, node.operation)
-    part.no = ""
+    feature.rejection = ""
     await until(lambda: node.config.idle_time == last.idle_time)
     assert node.metrics.sighup_applied == 1
-    assert part.seen[-1] == (
+    assert feature.calls[-1] == (
         "on_change_made",
         Change.SETTINGS,
         "tier=0,zone=here",
         (3, 7),
     )
     assert "waiting" not in (await asked(node, "GET /admin/stats"))[1]
-    part.no = "no"  # what the platform forbids waits for nobody
+    feature.rejection = "no"  # a reload that forbids peers waits for no approval
     node.reload(
         replace(node.config, settings=replace(node.config.settings, peers=False)),
         node.operation,
     )
-    assert part.seen[-1] == ("stop", False)
+    assert feature.calls[-1] == ("stop", False)
     assert not node.settings.peers
-    said = capfd.readouterr().err
+    log = capfd.readouterr().err
     assert (
         "reload deferred reason=the change freeze holds, for incident 4; close it; the old configuration"
-        in said
+        in log
     )
-    assert "reload resumed after_s=" in said
-    assert "reload withdrawn" in said
+    assert "reload resumed after_s=" in log
+    assert "reload withdrawn" in log
 
 
-async def test_the_return_of_a_zone_waits_until_all_let_it(
+async def test_the_return_of_a_zone_waits_for_approval(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    bench = await bench_with(Wide(dummy=Wish(), zones=Zones()))
-    (part,), judge = Dummy.made_ones, bench.node.balancer.zones.policy
+    bench = await bench_with(ExtendedConfig(dummy=FeatureTable(), zones=Zones()))
+    (feature,), judge = RecordingFeature.instances, bench.node.balancer.zones.policy
     assert isinstance(judge, ZoneFailover)
     assert judge.approval_required
-    part.no = "the change freeze holds"
+    feature.rejection = "the change freeze holds"
     judge.awaiting_approval[1] = 2.0
     asked = ("on_change_requested", Change.ZONE_RETURN, "zone=there")
-    await until(lambda: asked in part.seen)
+    await until(lambda: asked in feature.calls)
     assert not judge.approved_returns
-    part.no = ""
+    feature.rejection = ""
     await until(lambda: judge.approved_returns == {1})
-    bench.node.reload(bench.node.config, Wide(zones=Zones()))
-    assert not judge.approval_required  # nobody is left who has a say
+    bench.node.reload(bench.node.config, ExtendedConfig(zones=Zones()))
+    assert not judge.approval_required  # no approver is left
     assert (
         "return of zone there deferred reason=the change freeze holds; its calls stay"
         in capfd.readouterr().err
     )
 
 
-async def test_a_part_that_never_answers_is_stopped_at_last(
+async def test_a_feature_that_never_answers_is_stopped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(change_approval, "ANSWER_TIMEOUT_S", 0.02)
     monkeypatch.setattr(change_approval, "MAX_RETRY_S", 0.02)
-    monkeypatch.setattr(Dummy, "on_change_requested", lambda *_: None)
+    monkeypatch.setattr(RecordingFeature, "on_change_requested", lambda *_: None)
 
-    bench = await bench_with(Wide(dummy=Wish()))
+    bench = await bench_with(ExtendedConfig(dummy=FeatureTable()))
     node = bench.node
-    node.reload(node.config, Wide(dummy=Wish(number=2)))
-    assert node.operation == Wide(dummy=Wish())
-    await until(lambda: node.operation == Wide(dummy=Wish(number=2)))
-    assert Dummy.made_ones[0].seen[-1] == ("stop", False)
+    node.reload(node.config, ExtendedConfig(dummy=FeatureTable(number=2)))
+    assert node.operation == ExtendedConfig(dummy=FeatureTable())
+    await until(lambda: node.operation == ExtendedConfig(dummy=FeatureTable(number=2)))
+    assert RecordingFeature.instances[0].calls[-1] == ("stop", False)
 
 
-# ---- the list of servers ----------------------------------------------------------------------------------
+# ---- the endpoint list ------------------------------------------------------------------------------------
 
 
-async def with_list(*servers: dict[str, Any]) -> tuple[Bench, Dummy]:
-    bench = await bench_with(Wide(dummy=Wish()))
-    part = Dummy.made_ones[-1]
+async def with_list(*servers: dict[str, Any]) -> tuple[Bench, RecordingFeature]:
+    bench = await bench_with(ExtendedConfig(dummy=FeatureTable()))
+    feature = RecordingFeature.instances[-1]
     bench.discovery.say(50, True, *servers)
     await until(
-        lambda: part.seen[-1][0] == "on_version" and part.seen[-1][1].number == 50
+        lambda: (
+            feature.calls[-1][0] == "on_version" and feature.calls[-1][1].number == 50
+        )
     )
-    return bench, part
+    return bench, feature
 
 
 def usable(bench: Bench, name: str) -> int | None:
-    """The port where a server takes something new, if it does."""
+    """Returns the port of a server that accepts new requests; None if it does not."""
     endpoint = bench.node.pool.endpoints.get(number_of(name))
     return endpoint.port if endpoint is not None and endpoint.ready else None
 
 
-async def test_peers_bring_drains_at_once_and_new_servers_as_cold() -> None:
+async def test_drains_from_peers_apply_at_once_and_new_servers_start_cold() -> None:
     server = await Server().start()
-    bench, part = await with_list(server.entry("a"), server.entry("b", started_ms=5))
+    bench, feature = await with_list(server.entry("a"), server.entry("b", started_ms=5))
     earlier = line(
         "b", "draining", started=4999
-    )  # of a process before the one that serves
-    part.host.merge_endpoint_lines(
+    )  # from the process that ran before the current one
+    feature.host.merge_endpoint_lines(
         (line("a", "draining"), line("new", port=server.port), earlier)
     )
     assert not usable(bench, "a")
@@ -448,47 +471,49 @@
     assert usable(bench, "new")
     started = bench.node.pool.endpoints[number_of("new")].started
     assert abs(started - bench.node.now()) < 60_000_000
-    # What the agent repeats of the old version undoes nothing...
-    count = len(part.seen)
+    # Lines of the old version that the agent repeats do not undo the merge.
+    count = len(feature.calls)
     bench.discovery.say(50, True, server.entry("a"), server.entry("b"))
-    await until(lambda: len(part.seen) > count)
+    await until(lambda: len(feature.calls) > count)
     assert not usable(bench, "a")
     assert usable(bench, "new")
-    # ...and its next version is what holds.
+    # The agent's next version replaces the merged lines.
     bench.discovery.say(51, True, server.entry("a"), server.entry("b"))
     await until(lambda: usable(bench, "a") is not None)
     assert not usable(bench, "new")
 
 
-LINES = st.builds(
+ENDPOINT_LINES = st.builds(
     line,
     st.sampled_from("abc"),
     st.sampled_from(["ready", "draining", "gone"]),
     started=st.integers(0, 2),
 )
-NEWS = st.tuples(
+LIST_EVENTS = st.tuples(
     st.sampled_from(["own", "whole", "part", "peers", "peers", "move"]),
-    st.lists(LINES, max_size=3, unique_by=lambda x: x.id),
+    st.lists(ENDPOINT_LINES, max_size=3, unique_by=lambda x: x.id),
     st.booleans(),
 )
 
 
-@LOOK
-@given(st.lists(NEWS, max_size=12), st.booleans())
-def test_peers_never_undrain_and_the_digest_is_of_the_content(
+@PROPERTY_SETTINGS
+@given(st.lists(LIST_EVENTS, max_size=12), st.booleans())
+def test_peers_never_undrain_and_the_digest_depends_on_the_content(
     news: list[Any], midway: bool
 ) -> None:
-    """A model node: nothing that its own discovery does not call ready, or that peers said drains or has gone
-    since its own discovery's last news, takes anything new on a peer's word.
+    """Checks `KnownEndpoints` against a model node.
+
+    No event makes an endpoint usable that the node's own discovery reports as not ready, and no endpoint
+    stays usable that peers have reported draining or gone since the last version of its own discovery.
     """
     held, version, origin = KnownEndpoints(midway), 0, "a"
-    usable: set[str] = set()  # by what the node takes up
-    own: dict[str, Line] = {}  # by the own discovery's word alone
-    named: set[str] | None = None  # by a whole list of which more is to come
-    listed: set[str] = set()  # by that list itself, without what peers added to it
-    newer: set[str] = set()  # by changes meanwhile
-    complete = False  # a whole list was told from its beginning to its end
-    drained: set[str] = set()  # by peers, and nothing newer was told since
+    usable: set[str] = set()  # by the lines that the node applies
+    own: dict[str, Line] = {}  # as the node's own discovery reported them
+    named: set[str] | None = None  # in a complete list of which further parts follow
+    listed: set[str] = set()  # in that list itself, without lines added by peers
+    newer: set[str] = set()  # by changes while the list is incomplete
+    complete = False  # a complete list was received from its first part to its last
+    drained: set[str] = set()  # by peers, and not replaced by a newer version since
     for what, lines, new in news:
         before = set(usable)
         if what == "move":
@@ -558,46 +583,47 @@
         assert (again.digest() == held.digest()) == (not other)
 
 
-async def test_a_node_that_is_shut_out_says_so_and_finishes_what_it_has_taken() -> None:
+async def test_a_quarantined_node_is_unready_and_finishes_accepted_requests() -> None:
     gate = asyncio.Event()
 
     async def slow(request: Any, writer: Any) -> bytes:
         await gate.wait()
         return OK
 
-    bench = await bench_with(Wide(dummy=Wish()), Server(slow))
-    (part,) = Dummy.made_ones
+    bench = await bench_with(ExtendedConfig(dummy=FeatureTable()), Server(slow))
+    (feature,) = RecordingFeature.instances
     ready = b"GET /ready HTTP/1.1\r\n\r\n"
     kept = await bench.client()
     kept.send(call())
     await until(lambda: bench.servers[0].requests != [])
     await until(bench.node.ready)
-    part.host.set_quarantined(True, "behind the frontier")
+    feature.host.set_quarantined(True, "behind the frontier")
     assert (await bench.once(ready))[0] == 503
     gate.set()
     status, headers, _ = await kept.receive()
     assert status == 200
     assert headers["connection"] == "close"
-    part.host.set_quarantined(False, "")
+    feature.host.set_quarantined(False, "")
     assert (await bench.once(ready))[0] == 200
     assert "connection" not in (await bench.once(call()))[1]
-    part.host.set_quarantined(True, "behind the frontier")
-    bench.node.reload(bench.node.config, None)  # nobody is left to let it in again
+    feature.host.set_quarantined(True, "behind the frontier")
+    # The reload stops the feature, so that no feature is left to end the quarantine.
+    bench.node.reload(bench.node.config, None)
     assert (await bench.once(ready))[0] == 200
 
 
-# ---- what parts build on ----------------------------------------------------------------------------------
+# ---- shared resources -------------------------------------------------------------------------------------
 
 
-class Talker(Feature):
-    """Has a channel and a store."""
+class ChannelFeature(Feature):
+    """Uses a channel and the store."""
 
     name, tag = "talker", 9
 
     def start(self, host: FeatureHost) -> None:
-        self.host, self.heard = host, []
+        self.host, self.received = host, []
         self.channel = host.channel(
-            self.tag, lambda data, source: self.heard.append(data)
+            self.tag, lambda data, source: self.received.append(data)
         )
         self.store = host.store()
 
@@ -607,14 +633,16 @@
         then(ALLOWED)
 
 
-async def test_channels_and_the_store_are_had_anew_when_their_table_changes(
+async def test_channels_and_the_store_are_reopened_when_their_table_changes(
     monkeypatch: Any, tmp_path: Path, capfd: Any
 ) -> None:
     monkeypatch.setattr(lifecycle, "STORE_RETRY_S", 0.02)
-    other = registry.FeatureEntry("other", f"{__name__}:Talker")
+    other = registry.FeatureEntry("other", f"{__name__}:ChannelFeature")
     monkeypatch.setattr(registry, "FEATURES", [*registry.FEATURES[:-2], other])
 
-    def wish(seed: str = "", kind: str = "memory", **keys: Any) -> Wide:
+    def config_with(
+        seed: str = "", kind: str = "memory", **keys: Any
+    ) -> ExtendedConfig:
         table: dict[str, Any] = {
             "listen": "127.0.0.1:0",
             "seeds": [seed] if seed else [],
@@ -622,43 +650,46 @@
         }
         store = {"kind": kind} | ({"path": str(tmp_path)} if kind != "memory" else {})
         plain = build({"membership": table, "store": store}, "operator.toml")
-        return Wide(membership=plain.membership, store=plain.store, other=Wish())
+        return ExtendedConfig(
+            membership=plain.membership, store=plain.store, other=FeatureTable()
+        )
 
-    def talker(bench: Bench) -> Talker | None:
-        part = bench.node.feature_host.features.get("other")
-        return part if isinstance(part, Talker) else None
+    def channel_feature(bench: Bench) -> ChannelFeature | None:
+        feature = bench.node.feature_host.features.get("other")
+        return feature if isinstance(feature, ChannelFeature) else None
 
-    one = await bench_with(wish(kind="directory"), name="n1")
-    first = talker(one)
+    one = await bench_with(config_with(kind="directory"), name="n1")
+    first = channel_feature(one)
     assert first is not None
     assert first.store.durable
     await until(lambda: first.channel.address is not None)
     seed = "{}:{}".format(*(first.channel.address or ()))
-    two = await bench_with(wish(seed), name="n2")
-    # The membership begins anew, and with it whoever has a channel on its port.
-    two.node.reload(two.node.config, wish(seed, probe_ms=400.0))
-    second = talker(two)
+    two = await bench_with(config_with(seed), name="n2")
+    # The membership is restarted, and with it the features that have a channel on its port.
+    two.node.reload(two.node.config, config_with(seed, probe_ms=400.0))
+    second = channel_feature(two)
     assert second is not None
     await until(lambda: second.host.member_address("n1") is not None)
     assert second.channel.send(b"hello", second.host.member_address("n1") or ("", 0))
-    await until(lambda: first.heard == [b"hello"])
+    await until(lambda: first.received == [b"hello"])
     assert second.host.live_members() == ["n2", "n1"] or second.host.live_members() == [
         "n1",
         "n2",
     ]
-    # A store that another process has is waited for, while the node serves.
-    heir = await bench_with(wish(kind="directory"), name="n1")
-    await until(heir.node.ready)
-    assert talker(heir) is None
-    heir.node.reload(heir.node.config, wish(kind="directory", probe_ms=400.0))
-    assert (
-        heir.node.feature_host.change_approval.pending
-    )  # whoever has a say in it cannot be asked yet
+    # The feature waits for a store that another process has locked, while the node serves.
+    successor = await bench_with(config_with(kind="directory"), name="n1")
+    await until(successor.node.ready)
+    assert channel_feature(successor) is None
+    successor.node.reload(
+        successor.node.config, config_with(kind="directory", probe_ms=400.0)
+    )
+    # The approver that waits for the store cannot be asked yet.
+    assert successor.node.feature_host.change_approval.pending
     one.node.feature_host.stop(graceful=False)
     await until(
         lambda: (
-            talker(heir) is not None
-            and not heir.node.feature_host.change_approval.pending
+            channel_feature(successor) is not None
+            and not successor.node.feature_host.change_approval.pending
         )
     )
     assert "feature start deferred name=other reason=" in capfd.readouterr().err
