--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -159,14 +159,14 @@
     def merge_endpoint_lines(self, lines: tuple[Line, ...]) -> None:
         self.merged_lines += lines
 
-    def set_quarantined(self, out: bool, why: str) -> None:
-        self.quarantined = out
+    def set_quarantined(self, quarantined: bool, reason: str) -> None:
+        self.quarantined = quarantined
 
     # ---- used by the tests ----------------------------------------------------------------------------
 
     def start(self) -> FakeHost:
         self.feature.start(cast(FeatureHost, self))
-        observer = self.feature.context.judge.observer
+        observer = self.feature.context.evaluator.observer
         observer.rules = replace(observer.rules, settle_us=200_000)
         return self
 
@@ -308,9 +308,9 @@
         table = {"out_after_s": 0.5, "out_share_percent": 25.0, "in_after_s": 0.3}
         hosts = await fleet(FakeNetwork(), **table)
         for host in hosts:
-            host.feature.context.judge.remediator.update_rules(
+            host.feature.context.evaluator.remediator.update_rules(
                 replace(
-                    host.feature.context.judge.remediator.rules,
+                    host.feature.context.evaluator.remediator.rules,
                     vote_embargo_us=0,
                     min_request_age_us=300_000,
                     max_rounds=1,
