--- a/loadbalancer/node/client/client_socket.py
+++ b/loadbalancer/node/client/client_socket.py
@@ -10,12 +10,10 @@
 import termios
 from contextlib import suppress
 
-RESET_ON_CLOSE = struct.pack(
-    "ii", 1, 0
-)  # SO_LINGER on, with 0 s: a close resets the connection
-UNREAD_COUNT_BUFFER = bytes(
-    4
-)  # a C int, which FIONREAD fills with the number of unread bytes
+# SO_LINGER on, with 0 s: a close resets the connection.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+# A C int, which FIONREAD fills with the number of unread bytes.
+UNREAD_COUNT_BUFFER = bytes(4)
 
 
 def set_socket_option(fileno: int, option: int, value: int | bytes) -> None:
--- a/loadbalancer/node/client/connection.py
+++ b/loadbalancer/node/client/connection.py
@@ -49,9 +49,8 @@
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.state = ConnectionState.OPEN
         self.last_active_at = listener.loop.time()
-        self.hangup_poll: select.poll | None = (
-            None  # created on first use, polled before each attempt
-        )
+        # Created on first use, polled before each attempt.
+        self.hangup_poll: select.poll | None = None
         self.reader = RequestReader(self)
         self.pipelined: deque[ClientRequest] = deque()
         self.read_paused = False
--- a/loadbalancer/node/client/eviction.py
+++ b/loadbalancer/node/client/eviction.py
@@ -7,23 +7,18 @@
 if TYPE_CHECKING:
     from loadbalancer.node.client.connection import ClientConnection
 
-REQUEST_TIMEOUT_S = (
-    2.5  # from a request's first byte until its head, or a small request, is complete
-)
+# From a request's first byte until its head, or a small request, is complete.
+REQUEST_TIMEOUT_S = 2.5
 # From the end of the head, a body may take BODY_START_TIMEOUT_S, plus the time that its bytes need at
 # MIN_BODY_BYTES_PER_S.
 BODY_START_TIMEOUT_S = 1.0
 MIN_BODY_BYTES_PER_S = 40_000
-STALL_TIMEOUT_S = (
-    1.0  # an incomplete request that receives nothing for this time counts as stalled
-)
+# An incomplete request that receives nothing for this time counts as stalled.
+STALL_TIMEOUT_S = 1.0
 
 # Ranks for `eviction_rank`; connections with the lowest rank are evicted first.
-RANKS_BY_REQUEST_COUNT = (
-    0,
-    2,
-    3,
-)  # without an incomplete request, by the number of requests so far
+# Ranks of connections without an incomplete request, by the number of requests so far.
+RANKS_BY_REQUEST_COUNT = (0, 2, 3)
 RANK_STALLED = 1
 RANK_RECEIVING = 4
 
--- a/loadbalancer/node/client/listener.py
+++ b/loadbalancer/node/client/listener.py
@@ -44,17 +44,14 @@
 # Open connections still accept requests. The period ends earlier where less than LAST_REQUEST_MARGIN_S would
 # be left until everything must be answered (`requests.deadline_guard`, 3.4 s).
 REUSE_PERIOD_S = 3.2
-REUSE_PERIOD_SHARED_S = (
-    2.0  # the same where another process has taken over the listening socket
-)
-LAST_REQUEST_MARGIN_S = (
-    0.2  # a request that arrives later is unlikely to be answered in time
-)
+# The same where another process has taken over the listening socket.
+REUSE_PERIOD_SHARED_S = 2.0
+# A request that arrives later is unlikely to be answered in time.
+LAST_REQUEST_MARGIN_S = 0.2
 # A connection that was accepted or used within this time may be about to send a request.
 SETTLE_TIME_S = 0.2
-DRAIN_ABORT_DELAY_S = (
-    0.1  # after the answer deadline, until lingering connections are aborted
-)
+# Lingering connections are aborted this long after the answer deadline.
+DRAIN_ABORT_DELAY_S = 0.1
 DRAIN_CHECK_INTERVAL_S = 0.02
 
 
--- a/loadbalancer/node/client/response_stream.py
+++ b/loadbalancer/node/client/response_stream.py
@@ -65,9 +65,8 @@
         self.source = source
         self.chunked = length is None and request.http_version == "1.1"
         if length is None and not self.chunked:
-            request.keep_alive = (
-                False  # only the end of the connection delimits the body
-            )
+            # Only the end of the connection delimits the body.
+            request.keep_alive = False
         close = connection.closes_after(request)
         if close:
             request.keep_alive = False
--- a/loadbalancer/node/upstream/connection.py
+++ b/loadbalancer/node/upstream/connection.py
@@ -358,9 +358,9 @@
         that are no response to it. Where the system cannot tell, the bytes are accepted.
         """
         with suppress(OSError):
-            queue_size = fcntl.ioctl(
+            result = fcntl.ioctl(
                 self.fileno, termios.TIOCOUTQ, bytes(TIOCOUTQ_RESULT_BYTES)
             )
-            unacknowledged_bytes = int.from_bytes(queue_size, sys.byteorder)
+            unacknowledged_bytes = int.from_bytes(result, sys.byteorder)
             return unacknowledged_bytes >= self.request_bytes > 0
         return False
