--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""What a node meets on loopback sockets: servers and discovery that do as a test says, and a client."""
+"""Loopback peers for a node in the test's event loop: scripted servers and discovery, and a client."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from loadbalancer.node.config import read
 from loadbalancer.node.node import Node
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
+PATIENCE = 20.0  # seconds that a test waits for a condition; reached only on failure
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 MOMENT = 1_000_000
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings object of the tests; `policy_limits` are merged."""
+    """The settings object of the tests with `changes`, of which `policy_limits` are merged."""
     limits = {
         "cancel": True,
         "conn_idle": 5 * MOMENT,
@@ -72,7 +72,7 @@
 
 
 class Request:
-    """What a server got."""
+    """A request as a server received it."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         first, *lines = head.decode().split("\r\n")
@@ -86,7 +86,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Request:
-    """One request, or an IncompleteReadError at the connection's end."""
+    """Reads one request; raises IncompleteReadError at the end of the connection."""
     head = await reader.readuntil(b"\r\n\r\n")
     request = Request(head[:-4], b"")
     request.body = await reader.readexactly(
@@ -103,14 +103,14 @@
 
 
 class Server:
-    """A server: `handle` gives the bytes of an answer, or None to say nothing."""
+    """A server: `handle` returns the bytes of a response, or None to send nothing."""
 
     def __init__(self, handle: Handle = answer_ok) -> None:
         self.handle = handle
         self.requests: list[Request] = []
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.closed = 0  # connections whose other side has ended
+        self.closed = 0  # connections that the other side has closed
 
     async def start(self) -> Server:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -148,9 +148,10 @@
 
 
 class Discovery(Server):
-    """Discovery: calls wait until a test answers them with `say`; those that may not wait find no news.
+    """A discovery service whose long polls wait until a test answers them with `say`.
 
-    `requests` holds the calls that wait, `polls` counts the others. With `silent`, none is answered.
+    Polls that may not wait get an empty update. `requests` holds the waiting long polls, `polls` counts the
+    others. If `silent` is set, no poll is answered.
     """
 
     def __init__(self) -> None:
@@ -171,7 +172,7 @@
             self.polls += 1
             version = request.target.partition("since=")[2].partition("&")[0]
             return empty_answer(int(version))
-        # Failure prevented: a call that the node has given up takes the answer that a later one waits for.
+        # Failure prevented: a poll that the node has abandoned takes the answer meant for a later one.
         while self.answers.empty() or writer._reader.at_eof():
             if writer._reader.at_eof():
                 raise ConnectionResetError
@@ -193,13 +194,13 @@
 
 
 def empty_answer(version: int) -> bytes:
-    """What discovery says when there is no news."""
+    """The response to a poll when nothing has changed."""
     body = json.dumps({"version": version, "full": False, "servers": []}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 class Client:
-    """A client's connection."""
+    """A client connection."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -212,7 +213,7 @@
         self.writer.write(data)
 
     async def receive(self) -> tuple[int, dict[str, str], bytes]:
-        """One answer: status, headers, body."""
+        """Reads one response: status, headers, body."""
         head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), PATIENCE)
         first, *lines = head[:-4].decode().split("\r\n")
         headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in lines)}
@@ -224,7 +225,7 @@
         return await self.receive()
 
     async def ended(self) -> bool:
-        """Waits for the end of the connection; whether nothing more came."""
+        """Waits for the end of the connection, and returns whether no more bytes arrived."""
         return await asyncio.wait_for(self.reader.read(), PATIENCE) == b""
 
 
@@ -238,7 +239,7 @@
     body: bytes = b"",
     name: bytes = b"",
 ) -> bytes:
-    """A request of a class, with an id of its own if none is given."""
+    """Encodes a request of a class, with a new id if none is given."""
     method = b"GET" if klass == "view" else b"POST"
     name = name or b"%016x" % next(CALLS)
     lines = b"X-Call-Id: %b\r\nX-Caller: acme\r\nX-Budget-Ms: %d\r\n" % (name, budget)
@@ -259,15 +260,17 @@
 
 
 def end_all() -> None:
-    """Nothing is asked of discovery any more. A call that begins while the loop is being closed leaves a task
-    that nothing ends, and what its collection raises is counted against the parser of the next module.
+    """Stops the discovery clients of all started nodes.
+
+    A poll that starts while the event loop is being closed leaves a task that nothing ends; an exception
+    raised when it is collected would be attributed to the parser of the next module.
     """
     while STARTED:
         STARTED.pop().discovery.stop()
 
 
 class Bench:
-    """A node with servers `s0`, `s1`, ... and a discovery that knows them."""
+    """A node with servers `s0`, `s1`, ... and a discovery service that lists them."""
 
     def __init__(
         self, *servers: Server, config: dict[str, Any] | None = None, **changes: Any
@@ -305,7 +308,7 @@
         return await Client(self.port).open()
 
     async def once(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
-        """One request on a connection of its own."""
+        """Sends one request on a new connection, and returns the response."""
         client = await self.client()
         answer = await client.ask(data)
         client.writer.close()
@@ -313,10 +316,10 @@
 
 
 class LoopWatch:
-    """Measures the longest time for which the running loop ran nothing else, while its block lasts.
+    """Measures, within its block, the longest time for which the event loop ran nothing else.
 
     Attributes:
-        longest_hold_s: That time in seconds, up to the last look, one a millisecond.
+        longest_hold_s: That time in seconds, up to the last check; there is one check per millisecond.
     """
 
     def __init__(self) -> None:
@@ -332,7 +335,7 @@
         self.note()
 
     def note(self) -> None:
-        """Takes the time since the last look."""
+        """Records the time since the last check."""
         now = monotonic()
         self.longest_hold_s = max(self.longest_hold_s, now - self.last_look)
         self.last_look = now
@@ -344,14 +347,14 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Lets the loop run until the condition holds."""
+    """Runs the event loop until the condition holds; fails after PATIENCE seconds."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(0.001)
 
 
 def play(scene: Callable[[], Awaitable[None]]) -> None:
-    """Runs a scene on the node's event loop."""
+    """Runs a test coroutine on the node's event loop implementation, for at most 3 * PATIENCE seconds."""
 
     async def limited() -> None:
         try:
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,7 +1,8 @@
-"""The real program, as a process of its own, between peers that a test scripts byte by byte.
+"""The real program as a separate process, with peers that a test scripts byte by byte.
 
-Peers act at a stated byte or event, never by sleeping: `Peer` gives a test both ends of a connection, and
-`Program` starts, signals and ends the node. `loopback.Bench` hosts a node in the test's own loop instead.
+Peers act at a given byte or event, never by sleeping. `Peer` gives a test the far end of a connection, and
+`Program` starts, signals and stops the node. `loopback.Bench` runs a node in the test's own event loop
+instead.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from loopback import PATIENCE, Client, Discovery, settings
 
 HELD: list[socket.socket] = []
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, with 0 s: a close resets the connection
 
 
 def node_table(
@@ -37,7 +38,7 @@
 
 
 def free_port() -> int:
-    """A port that nobody else is given: it stays bound, which does not keep a node from listening there."""
+    """A port reserved for this test: the bound socket keeps other tests off, but a node may listen there."""
     s = socket.socket()
     s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     s.bind(("127.0.0.1", 0))
@@ -58,7 +59,7 @@
 async def spawn(
     tmp_path, table: dict, environ: dict | None = None, fd: int | None = None
 ) -> asyncio.subprocess.Process:
-    """A node as a process of its own; `fd` is the clients' listening socket, which it inherits."""
+    """Starts a node as a separate process, which inherits `fd` as its listening socket for clients."""
     file = tmp_path / "config.json"
     file.write_text(json.dumps(table))
     return await asyncio.create_subprocess_exec(
@@ -72,7 +73,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Ends a connection by a reset, whatever it still holds."""
+    """Resets a connection, discarding bytes that it still holds."""
     writer.get_extra_info("socket").setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, RESET
     )
@@ -80,7 +81,7 @@
 
 
 class Peer:
-    """The far end of one connection that the program made, in the hands of a test."""
+    """The far end of one connection that the program made, controlled by a test."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -88,14 +89,14 @@
         self.reader, self.writer = reader, writer
 
     async def read_until(self, mark: bytes) -> bytes:
-        """Bytes up to and with the mark."""
+        """Reads up to and including the mark."""
         return await asyncio.wait_for(self.reader.readuntil(mark), PATIENCE)
 
     async def read_exactly(self, count: int) -> bytes:
         return await asyncio.wait_for(self.reader.readexactly(count), PATIENCE)
 
     async def ended(self) -> bytes:
-        """What still comes up to the program's end of the connection; a reset counts as an end."""
+        """Reads until the program closes the connection; a reset counts as the end."""
         with suppress(ConnectionError):
             return await asyncio.wait_for(self.reader.read(), PATIENCE)
         return b""
@@ -104,7 +105,7 @@
         self.writer.write(data)
 
     def half_close(self) -> None:
-        """Ends this side's sending; it still reads."""
+        """Closes the sending side; receiving continues."""
         self.writer.write_eof()
 
     def close(self) -> None:
@@ -115,7 +116,7 @@
 
 
 class Door:
-    """A listener that does nothing by itself: each connection is a `Peer` for the test to play."""
+    """A listener without behaviour of its own: a test controls each connection as a `Peer`."""
 
     async def start(self) -> Door:
         self.peers: asyncio.Queue[Peer] = asyncio.Queue()
@@ -131,11 +132,11 @@
         self.peers.put_nowait(Peer(reader, writer))
 
     async def peer(self) -> Peer:
-        """The next connection."""
+        """Waits for the next connection."""
         return await asyncio.wait_for(self.peers.get(), PATIENCE)
 
     def entry(self, name: str, state: str = "ready", **changes: Any) -> dict[str, Any]:
-        """Its line in discovery's list."""
+        """Its entry in the endpoint list."""
         line = {
             "id": name,
             "addr": f"127.0.0.1:{self.port}",
@@ -147,7 +148,7 @@
 
 
 class Program:
-    """One real node: started with `entries` as its known list, asked, signalled, ended by its id."""
+    """One real node process, with `entries` as its known endpoint list."""
 
     def __init__(
         self,
@@ -161,7 +162,7 @@
         self.discovery = Discovery()
 
     async def start(self, ready: bool = True, **changes: Any) -> Program:
-        """Starts the process; with `ready`, waits until it says yes."""
+        """Starts the process, and waits until it is ready if `ready` is set."""
         if not hasattr(self.discovery, "port"):
             await self.discovery.start()
         self.port = free_port()
@@ -178,7 +179,7 @@
         return self
 
     async def ready(self) -> None:
-        """Waits until `/ready` says yes."""
+        """Waits until `/ready` answers 200."""
         while True:
             await connected(client := Client(self.port))
             status, _, _ = await client.ask(
@@ -196,21 +197,21 @@
         self.process.send_signal(signal.SIGTERM)
 
     def reload(self, **changes: Any) -> None:
-        """Writes the file anew with these entries, and sends SIGHUP."""
+        """Rewrites the configuration file with these changes, and sends SIGHUP."""
         self.table |= changes
         (self.folder / "config.json").write_text(json.dumps(self.table))
         self.process.send_signal(signal.SIGHUP)
 
     async def exit(self) -> int:
-        """Waits for the end, and gives the status."""
+        """Waits for the process to exit, and returns its status."""
         return await asyncio.wait_for(self.process.wait(), PATIENCE)
 
     async def stop(self) -> None:
-        """Ends the process if a test has left it."""
+        """Kills the process if it still runs."""
         if self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
     def descriptors(self) -> int:
-        """How many the process holds."""
+        """Number of file descriptors that the process has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
