--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Large bodies and every framing, over loopback: what flows, what is held, and how it ends."""
+"""Large bodies in every framing, over loopback: streaming, memory limits, and ends of connections."""
 
 import asyncio
 import os
@@ -27,8 +27,8 @@
 MB = 1 << 20
 
 
-class Raw:
-    """A server that reads a head and then does as a test says with the connection."""
+class ScriptedServer:
+    """A server that reads each head, and then lets a test handle the connection."""
 
     def __init__(self, serve) -> None:
         self.serve = serve
@@ -36,13 +36,15 @@
         self.ends = 0
 
     async def start(self):
-        self.server = await asyncio.start_server(self.meet, "127.0.0.1", 0, limit=4096)
+        self.server = await asyncio.start_server(
+            self.serve_connection, "127.0.0.1", 0, limit=4096
+        )
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     entry = Server.entry
 
-    async def meet(self, reader, writer):
+    async def serve_connection(self, reader, writer):
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
@@ -75,26 +77,26 @@
 
 
 async def receive(client: Client) -> tuple[bytes, bytes]:
-    """An answer's head and body, in whatever framing."""
+    """Reads a response's head and body, in any framing."""
     head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE)
     return head, await asyncio.wait_for(read_body(head, client.reader), PATIENCE)
 
 
 def chunked_call(body: bytes, sizes: list[int], extra: bytes = b"") -> bytes:
-    """An upload in chunks of these sizes, in turn, with extensions and a trailer."""
+    """An upload in chunks whose sizes repeat in order, with chunk extensions and a trailer."""
     data = call("invite", extra=b"Transfer-Encoding: chunked\r\n" + extra)
     data = data.replace(b"Content-Length: 0\r\n", b"")
-    at = turn = 0
+    at = index = 0
     while at < len(body):
-        piece = body[at : at + sizes[turn % len(sizes)]]
+        piece = body[at : at + sizes[index % len(sizes)]]
         data += b'%x;ext="a b"\r\n%b\r\n' % (len(piece), piece)
         at += len(piece)
-        turn += 1
+        index += 1
     return data + b"0\r\nX-Trailer: 1\r\n\r\n"
 
 
-def begun(lines: bytes, **more) -> bytes:
-    """The head of an upload with this framing; its body is still to come."""
+def upload_head(lines: bytes, **more) -> bytes:
+    """The head of an upload with this framing, without its body."""
     return call("invite", extra=lines, **more).replace(b"Content-Length: 0\r\n", b"")
 
 
@@ -103,7 +105,7 @@
 
 
 def echo():
-    """Takes a request in any framing and gives its body back with a length."""
+    """A handler that reads a request in any framing, and returns its body with a length."""
 
     async def serve(head, reader, writer):
         body = await read_body(head, reader)
@@ -125,11 +127,13 @@
     "size", [0, 1, MAX_HELD_BODY_BYTES, MAX_HELD_BODY_BYTES + 1, 3 * MB]
 )
 @pytest.mark.parametrize("chunks", [False, True])
-async def test_a_body_of_any_size_goes_through_and_comes_back_unchanged(size, chunks):
-    bench = await Bench(server := Raw(echo())).start()
+async def test_a_body_of_any_size_is_forwarded_unchanged_in_both_directions(
+    size, chunks
+):
+    bench = await Bench(server := ScriptedServer(echo())).start()
     body = pattern(size)
     client = await bench.client()
-    for _ in range(2):  # the connections, both, serve another request afterwards
+    for _ in range(2):  # both connections serve another request afterwards
         client.send(
             chunked_call(body, [70_000, 1, 9000])
             if chunks
@@ -153,17 +157,17 @@
     sizes=st.lists(st.integers(1, 40_000), min_size=1, max_size=4),
     size=st.sampled_from([0, 5, 3000, MAX_HELD_BODY_BYTES + 7, 150_000]),
 )
-async def test_pieces_may_be_cut_anywhere_on_both_sides(cuts, sizes, size):
-    """The request in pieces; the answer in chunks of its own, written in pieces too."""
+async def test_bodies_may_be_split_anywhere_on_both_sides(cuts, sizes, size):
+    """The request arrives in pieces; the response has chunks of its own, written in pieces too."""
     body = pattern(size)
 
     def pieces(data: bytes) -> list[bytes]:
-        found, at, turn = [], 0, 0
+        found, at, index = [], 0, 0
         while at < len(data):
-            step = cuts[turn % len(cuts)] if turn < 40 else 30_000
+            step = cuts[index % len(cuts)] if index < 40 else 30_000
             found.append(data[at : at + step])
             at += step
-            turn += 1
+            index += 1
         return found
 
     async def serve(head, reader, writer):
@@ -177,7 +181,7 @@
             writer.write(piece)
             await asyncio.sleep(0)
 
-    bench = await Bench(Raw(serve)).start()
+    bench = await Bench(ScriptedServer(serve)).start()
     client = await bench.client()
     for piece in pieces(chunked_call(body, sizes)):
         client.send(piece)
@@ -188,7 +192,7 @@
     assert bench.node.client_listener.held_bytes == 0
 
 
-async def test_an_answer_that_only_the_end_delimits_is_whole():
+async def test_a_response_delimited_by_the_end_of_the_connection_is_complete():
     for size in (0, 10, 300_000):
         body = pattern(size)
 
@@ -199,7 +203,7 @@
             await reader.read()
             raise ConnectionResetError
 
-        bench = await Bench(Raw(serve)).start()
+        bench = await Bench(ScriptedServer(serve)).start()
         client = await bench.client()
         client.send(call())
         head, got = await receive(client)
@@ -208,14 +212,14 @@
         assert bench.node.metrics.results["view"]["succeeded"] == 1
 
 
-async def test_a_client_of_http_1_0_gets_a_long_answer_up_to_the_end_of_its_connection():
+async def test_an_http_1_0_client_gets_a_large_response_delimited_by_the_close():
     body = pattern(300_000)
 
     async def serve(head, reader, writer):
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body))
 
-    bench = await Bench(Raw(serve)).start()
+    bench = await Bench(ScriptedServer(serve)).start()
     client = await bench.client()
     client.send(call().replace(b"HTTP/1.1", b"HTTP/1.0"))
     head = await client.reader.readuntil(b"\r\n\r\n")
@@ -225,8 +229,8 @@
 
 
 @pytest.mark.parametrize("size", [3, 200_000])
-async def test_who_expects_100_is_told_to_go_on_unless_the_head_is_refused(size):
-    bench = await Bench(Raw(echo())).start()
+async def test_100_continue_is_sent_unless_the_head_is_rejected(size):
+    bench = await Bench(ScriptedServer(echo())).start()
     body = pattern(size)
     data = call("invite", extra=b"Expect: 100-continue\r\n", body=body)
     head = data[: data.index(b"\r\n\r\n") + 4]
@@ -246,7 +250,7 @@
     assert (await client.receive())[0] == 413
 
 
-async def test_white_space_around_a_value_is_no_part_of_it():
+async def test_white_space_around_a_header_value_is_removed():
     bench = await Bench(server := Server()).start()
     data = call("invite", 9000, name=b"9b1f").replace(
         b"X-Budget-Ms: 9000", b"X-BUDGET-MS:\t 9000 \t"
@@ -255,7 +259,7 @@
     assert server.requests[0].headers["x-call-id"] == "9b1f"
 
 
-async def test_an_answer_without_a_body_is_not_waited_for():
+async def test_no_body_is_awaited_after_a_status_without_one():
     bench = await Bench(
         Server(always(b"HTTP/1.1 204 None\r\nContent-Length: 5\r\n\r\n"))
     ).start()
@@ -263,13 +267,13 @@
     assert (await bench.once(call().replace(b"GET", b"HEAD")))[0] == 405
 
 
-# ---- what is too large, and what is held -------------------------------------------------------------
+# ---- size limits and memory --------------------------------------------------------------------------
 
 
-async def test_a_body_beyond_the_largest_is_refused_in_every_framing():
-    bench = await Bench(server := Raw(echo())).start()
+async def test_a_body_over_the_limit_is_rejected_in_every_framing():
+    bench = await Bench(server := ScriptedServer(echo())).start()
     client = await bench.client()
-    client.send(begun(b"Transfer-Encoding: chunked\r\n"))
+    client.send(upload_head(b"Transfer-Encoding: chunked\r\n"))
     piece = b"%x\r\n%b\r\n" % (MB, bytes(MB))
 
     async def pour():
@@ -280,20 +284,20 @@
     pouring = asyncio.create_task(pour())
     assert (await client.receive())[0] == 413
     await asyncio.wait([pouring], timeout=PATIENCE)
-    await until(lambda: server.ends == 1)  # it never got a whole request
+    await until(lambda: server.ends == 1)  # it never received a complete request
     assert bench.node.client_listener.held_bytes == 0
     assert not bench.node.requests
 
 
-def test_reads_shrink_while_the_budget_is_spent():
+def test_reads_are_smaller_while_the_budget_is_exhausted():
     budget = BodyBudget(100_000)
     assert len(budget.next_read_buffer()) == MAX_HELD_BODY_BYTES
     budget.held_bytes = 50_000
     assert len(budget.next_read_buffer()) == READ_BUFFER_BYTES_AT_LIMIT
 
 
-def test_what_an_upload_holds_is_counted_until_the_kernel_has_it():
-    class Tap:
+def test_upload_bytes_count_as_held_until_the_kernel_accepts_them():
+    class Source:
         paused = False
 
         def pause(self):
@@ -302,13 +306,13 @@
         def resume(self):
             self.paused = False
 
-    budget, tap, spent = BodyBudget(1000), Tap(), []
-    upload = Upload(budget, tap, None)
-    upload.on_consumed = lambda: spent.append(1)
+    budget, source, consumptions = BodyBudget(1000), Source(), []
+    upload = Upload(budget, source, None)
+    upload.on_consumed = lambda: consumptions.append(1)
     upload.append(b"abc")
     upload.append(b"de")
-    upload.forward()  # nobody takes it yet
-    assert tap.paused
+    upload.forward()  # no writer is set yet
+    assert source.paused
     assert budget.held_bytes == 5
     assert not upload.consumed
     assert upload.take_piece() == b"abc"
@@ -316,18 +320,18 @@
     assert budget.held_bytes == 5
     upload.mark_sent()
     assert budget.held_bytes == 2
-    assert spent == [1]
+    assert consumptions == [1]
     upload.release()
     assert budget.held_bytes == 0
 
 
-async def test_32_mb_both_ways_slowly_stay_within_the_memory(tmp_path):
-    """Many at a time: together they are far over the memory limit, and neither side reads for a while."""
+async def test_slow_transfers_of_32_mb_stay_within_the_memory_limit(tmp_path):
+    """Several at a time: together they exceed the memory limit by far, and neither side reads for a while."""
     uploads, size = 6, 32 * MB
     go = asyncio.Event()
 
     async def serve(head, reader, writer):
-        await go.wait()  # meanwhile nothing is read here
+        await go.wait()  # nothing is read here until then
         left = size
         while left:
             left -= len(await reader.read(min(left, 1 << 18)))
@@ -336,7 +340,7 @@
             writer.write(bytes(MB))
             await writer.drain()
 
-    await (server := Raw(serve)).start()
+    await (server := ScriptedServer(serve)).start()
     await (discovery := Discovery()).start()
     port = free_port()
     table = node_table(
@@ -353,7 +357,7 @@
 
     async def one():
         client = await Client(port).open()
-        client.send(begun(b"Content-Length: %d\r\n" % size))
+        client.send(upload_head(b"Content-Length: %d\r\n" % size))
 
         async def pour():
             for _ in range(size // MB):
@@ -393,7 +397,7 @@
     assert await asyncio.wait_for(node.wait(), 20) == 0
 
 
-# ---- ends --------------------------------------------------------------------------------------------
+# ---- ends of connections -----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -401,20 +405,20 @@
     [b"Content-Length: 500000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n30d40\r\n"],
 )
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
-async def test_an_answer_whose_server_dies_is_seen_as_cut_off(framing, version):
-    begun = asyncio.Event()
+async def test_a_response_whose_server_fails_is_visibly_truncated(framing, version):
+    head_received = asyncio.Event()
 
     async def serve(head, reader, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n" + framing + pattern(200_000))
         await writer.drain()
-        await begun.wait()
+        await head_received.wait()
         raise ConnectionResetError
 
-    bench = await Bench(server := Raw(serve), Raw(serve)).start()
+    bench = await Bench(server := ScriptedServer(serve), ScriptedServer(serve)).start()
     client = await bench.client()
     client.send(call().replace(b"HTTP/1.1", version))
     await client.reader.readuntil(b"\r\n\r\n")
-    begun.set()
+    head_received.set()
     with pytest.raises(ConnectionResetError):
         while await asyncio.wait_for(client.reader.read(65536), PATIENCE):
             pass
@@ -429,7 +433,7 @@
 
 
 @pytest.mark.parametrize("size", [500, 500_000])
-async def test_a_server_that_dies_before_an_answer_flows_leaves_room_for_another_attempt(
+async def test_a_server_failure_before_the_response_is_streamed_allows_a_retry(
     size,
 ):
     async def die(head, reader, writer):
@@ -444,14 +448,14 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + pattern(size)
         )
 
-    bench = await Bench(Raw(serve), Raw(serve)).start()
+    bench = await Bench(ScriptedServer(serve), ScriptedServer(serve)).start()
     client = await bench.client()
     client.send(call())
     assert (await receive(client))[1] == pattern(size)
 
 
-async def test_an_upload_whose_server_is_gone_before_its_first_byte_goes_to_another():
-    bench = await Bench(Raw(echo()), config={"known": None}).start()
+async def test_an_upload_whose_server_is_unreachable_goes_to_another():
+    bench = await Bench(ScriptedServer(echo()), config={"known": None}).start()
     gone = bench.servers[0].entry("gone", addr=f"127.0.0.1:{free_port()}")
     good = bench.servers[0].entry("good")
     bench.discovery.say(1, True, gone, good)
@@ -463,17 +467,17 @@
         assert (await receive(client))[1] == body
 
 
-async def test_an_upload_that_is_turned_away_in_the_middle_is_refused_once():
-    """Its first part is gone, so no further attempt can be made; it never ran, so a retry does no harm."""
+async def test_an_upload_rejected_midway_is_rejected_without_a_retry():
+    """Its first part is not held any more, so it is not retried; it never ran, so the client may retry."""
 
     async def refuse(head, reader, writer):
         await reader.read(1000)
         writer.write(FULL)
         await writer.drain()
 
-    bench = await Bench(Raw(refuse), Raw(refuse)).start()
+    bench = await Bench(ScriptedServer(refuse), ScriptedServer(refuse)).start()
     client = await bench.client()
-    client.send(begun(b"Content-Length: 900000\r\n"))
+    client.send(upload_head(b"Content-Length: 900000\r\n"))
     client.send(pattern(300_000))
     status, headers, _ = await client.receive()
     assert status == 503
@@ -487,9 +491,11 @@
 
 
 async def test_an_upload_whose_client_leaves_ends_its_attempt():
-    bench = await Bench(server := Raw(echo()), policy_limits={"cancel": False}).start()
+    bench = await Bench(
+        server := ScriptedServer(echo()), policy_limits={"cancel": False}
+    ).start()
     client = await bench.client()
-    client.send(begun(b"Content-Length: 900000\r\n"))
+    client.send(upload_head(b"Content-Length: 900000\r\n"))
     client.send(pattern(300_000))
     await until(lambda: len(server.heads) == 1)
     client.writer.transport.abort()
@@ -499,7 +505,7 @@
     assert not bench.node.balancer.table.off_limit_attempts
 
 
-async def test_a_reader_that_leaves_ends_the_attempt_and_a_dead_one_is_given_up(
+async def test_a_streamed_response_ends_if_its_client_leaves_or_stalls(
     monkeypatch,
 ):
     monkeypatch.setattr(attempt_module, "BODY_STALL_TIMEOUT_S", 0.2)
@@ -510,7 +516,7 @@
             writer.write(bytes(MB))
             await writer.drain()
 
-    bench = await Bench(server := Raw(serve)).start()
+    bench = await Bench(server := ScriptedServer(serve)).start()
     for leaves in (True, False):
         with socket.socket() as client:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -527,7 +533,7 @@
     assert bench.node.client_listener.held_bytes == 0
 
 
-async def test_a_large_body_behind_an_open_request_waits_its_turn():
+async def test_an_upload_behind_an_open_request_waits_for_its_turn():
     release = asyncio.Event()
 
     async def serve(head, reader, writer):
@@ -537,7 +543,7 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         )
 
-    bench = await Bench(server := Raw(serve)).start()
+    bench = await Bench(server := ScriptedServer(serve)).start()
     client = await bench.client()
     client.send(
         call() + call("invite", body=pattern(900_000)) + call("invite", body=b"last")
@@ -556,8 +562,8 @@
     assert bench.node.client_listener.held_bytes == 0
 
 
-async def test_the_time_of_a_slow_upload_runs_from_its_last_byte():
-    bench = await Bench(server := Raw(echo())).start()
+async def test_the_deadline_of_a_slow_upload_runs_from_its_last_byte():
+    bench = await Bench(server := ScriptedServer(echo())).start()
     client = await bench.client()
     body = pattern(200_000)
     data = call("invite", budget=1000, body=body)
@@ -570,13 +576,13 @@
     assert (await receive(client))[1] == body
 
 
-def test_the_module_counts_an_upload_once_it_is_whole_and_a_stream_until_its_first_byte():
+def test_the_policy_counts_an_upload_once_complete_and_a_stream_until_its_first_byte():
     node, rec = balancer()
     node.request(0, 1, 2, 0, 2 * SEC, False, complete=False)
     ((_, _, server, timeout),) = rec.take("send")
     assert timeout == 2 * SEC
     assert node.limit.in_flight == 0
-    node.request_complete(10 * SEC, 1)  # ten seconds later: its time begins
+    node.request_complete(10 * SEC, 1)  # ten seconds later, when the deadline starts
     assert node.limit.in_flight == 1
     node.response_started(10 * SEC + 50_000, 1, 0, server, 50_000)
     assert node.limit.in_flight == 0
@@ -585,7 +591,7 @@
     assert node.table.endpoints[server].in_flight == 0
     assert not node.requests
     assert not node.table.off_limit_attempts
-    # An upload that cannot be sent again is refused when it never ran, and one that is left is forgotten.
+    # An upload that cannot be resent is rejected if it never ran, and an abandoned one is forgotten.
     node.request(91 * SEC, 2, 2, 0, 2 * SEC, False, complete=False)
     ((_, _, server, _),) = rec.take("send")
     node.not_replayable(91 * SEC, 2)
@@ -600,7 +606,7 @@
     assert ask(node, rec, 93 * SEC, 4)[0] == "send"
 
 
-async def test_a_node_that_ends_finishes_an_answer_that_flows():
+async def test_a_draining_node_finishes_a_streamed_response():
     release = asyncio.Event()
 
     async def serve(head, reader, writer):
@@ -610,7 +616,7 @@
         await release.wait()
         writer.write(pattern(300_000)[100_000:])
 
-    bench = await Bench(Raw(serve)).start()
+    bench = await Bench(ScriptedServer(serve)).start()
     client = await bench.client()
     client.send(call())
     head = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE)
@@ -623,7 +629,7 @@
     await end
 
 
-async def test_a_small_answer_is_used_whole_when_the_budget_allows_and_flows_when_not():
+async def test_a_small_response_is_streamed_if_the_budget_does_not_allow_holding_it():
     bench = await Bench(Server(always(OK))).start()
     bench.node.client_listener.max_held_bytes = 0
     client = await bench.client()
--- a/tests/test_client_close.py
+++ b/tests/test_client_close.py
@@ -1,7 +1,7 @@
-"""How a client's connection ends, over loopback: who has gone, what is owed then, and what is never sent on.
+"""How client connections end, over loopback: what happens to open requests, responses and further input.
 
-Crossings that code alone can order are forced: the client is a plain socket that acts in the middle of a turn
-of the node's event loop, in a hook at the very step that it crosses.
+Orders of events that depend on the event loop are forced: the client is a plain socket that acts within an
+iteration of the node's event loop, from a hook at the step in question.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 from loadbalancer.node.upstream.attempt import Attempt
 from loadbalancer.node.upstream.connection import UpstreamConnection
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
-BACK = {
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, with 0 s: a close resets the connection
+BACK_TIER = {
     "layers": ["front", "back"],
     "tier": 1,
-}  # its callers are servers: at the limit a call waits
+}  # the clients are servers: at the concurrency limit, a request is queued
 READY = b"GET /ready HTTP/1.1\r\nHost: app\r\n\r\n"
 
 
@@ -42,18 +42,18 @@
     client.shutdown(socket.SHUT_WR)
 
 
-WAYS = (close, reset, half_close)
+WAYS_TO_LEAVE = (close, reset, half_close)
 
 
-def plain(bench: Bench) -> socket.socket:
-    """A client in the middle of the loop's turn: what it does, the node sees afterwards."""
+def plain_client(bench: Bench) -> socket.socket:
+    """A client whose actions the node sees only after the current iteration of the event loop."""
     client = socket.create_connection(("127.0.0.1", bench.port))
     client.settimeout(PATIENCE)
     return client
 
 
-async def taken(bench: Bench, client: socket.socket):
-    """The node's side of a plain client, once it reads from it."""
+async def node_side(bench: Bench, client: socket.socket):
+    """The node's side of a plain client's connection, once it is attached."""
 
     def found():
         name = client.getsockname()
@@ -66,14 +66,14 @@
     return found()[0]
 
 
-async def quiet(bench: Bench, turns: int = 20) -> None:
-    """Lets the loop run far enough that an attempt that had begun would have reached its server."""
+async def run_loop(bench: Bench, turns: int = 20) -> None:
+    """Runs the event loop long enough for a started attempt to reach its server."""
     for _ in range(turns):
         await asyncio.sleep(0.001)
 
 
-async def warm(bench: Bench, *servers: Server) -> None:
-    """Leaves an idle connection to each server, so that the next attempt is written at once."""
+async def warm_up(bench: Bench, *servers: Server) -> None:
+    """Leaves an idle connection to each server, so that the next attempt is written immediately."""
     while not all(server.requests for server in servers):
         assert (await bench.once(call()))[0] == 200
     await until(lambda: not bench.node.client_listener.connections)
@@ -91,91 +91,95 @@
     )
 
 
-# ---- client left -------------------------------------------------------------------------------------
+# ---- the client leaves -------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("end", WAYS)
+@pytest.mark.parametrize("end", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("requests", [1, 8])
-async def test_who_sends_and_goes_at_once_has_nothing_sent_on(end, requests):
+async def test_requests_of_a_client_that_leaves_immediately_are_not_forwarded(
+    end, requests
+):
     bench = await Bench(server := Server()).start()
-    await warm(bench, server)
-    client = plain(bench)
-    caller = await taken(bench, client)
+    await warm_up(bench, server)
+    client = plain_client(bench)
+    connection = await node_side(bench, client)
     client.sendall(b"".join(call("invite") for _ in range(requests)))
     end(
         client
-    )  # in the same turn: the bytes are read first, the end stands behind them
-    await until(lambda: caller not in bench.node.client_listener.connections)
-    await quiet(bench)
+    )  # in the same iteration: the bytes are read first, the end of stream follows them
+    await until(lambda: connection not in bench.node.client_listener.connections)
+    await run_loop(bench)
     assert not server.requests
     assert nothing_left(bench)
     assert bench.node.client_listener.held_bytes == 0
 
 
-@pytest.mark.parametrize("end", WAYS)
-async def test_a_queued_request_whose_client_goes_as_its_turn_comes_is_not_sent_on(end):
-    bench = await Bench(server := Server(), **BACK).start()
-    await warm(bench, server)
+@pytest.mark.parametrize("end", WAYS_TO_LEAVE)
+async def test_a_queued_request_is_not_forwarded_if_its_client_leaves_as_it_is_dequeued(
+    end,
+):
+    bench = await Bench(server := Server(), **BACK_TIER).start()
+    await warm_up(bench, server)
     balancer = bench.node.balancer
-    balancer.limit.admits = lambda now, spare: False  # at the limit
-    client = plain(bench)
+    balancer.limit.admits = lambda now, spare: False  # at the concurrency limit
+    client = plain_client(bench)
     client.sendall(call())
     await until(lambda: len(balancer.queue.waiting) == 1)
     end(client)
     balancer.limit.admits = lambda now, spare: (
         True
-    )  # its turn comes before the loop sees the end
+    )  # it is dequeued before the event loop sees the end of stream
     bench.node.post(balancer.dispatcher.serve_queue)
     await until(lambda: nothing_left(bench))
-    await quiet(bench)
+    await run_loop(bench)
     assert not server.requests
     assert bench.node.client_listener.held_bytes == 0
 
 
-@pytest.mark.parametrize("end", WAYS)
-async def test_a_retry_is_not_begun_for_a_client_that_goes_as_the_attempt_fails(
+@pytest.mark.parametrize("end", WAYS_TO_LEAVE)
+async def test_a_retry_is_not_started_if_the_client_leaves_as_the_attempt_fails(
     end, monkeypatch
 ):
-    async def turned_away(request, writer):
+    async def reject(request, writer):
         return b"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
     bench = await Bench(*(servers := [Server() for _ in range(3)])).start()
-    await warm(bench, *servers)
+    await warm_up(bench, *servers)
     for server in servers:
-        server.handle = turned_away
-    client = plain(bench)
+        server.handle = reject
+    client = plain_client(bench)
     on_attempt_done = bench.node.forwarder.on_attempt_done
 
-    def goes_first(*args):
+    def leave_first(*args):
         if client.fileno() >= 0:
             end(client)
         on_attempt_done(*args)
 
-    monkeypatch.setattr(bench.node.forwarder, "on_attempt_done", goes_first)
+    monkeypatch.setattr(bench.node.forwarder, "on_attempt_done", leave_first)
     client.sendall(call())
     await until(lambda: any(s.requests for s in servers))
     await until(lambda: nothing_left(bench))
-    await quiet(bench)
+    await run_loop(bench)
     assert sum(len(s.requests) for s in servers) == 1
 
 
-@pytest.mark.parametrize("end", WAYS)
-async def test_a_late_connection_is_not_written_to_for_a_client_that_goes_as_it_comes_up(
+@pytest.mark.parametrize("end", WAYS_TO_LEAVE)
+async def test_nothing_is_written_if_the_client_leaves_as_the_connection_is_established(
     end, monkeypatch
 ):
     bench = await Bench(server := Server()).start()
-    client = plain(bench)
+    client = plain_client(bench)
     send_on = Attempt.send_on
 
-    def goes_first(self, connection):
+    def leave_first(self, connection):
         end(client)
         send_on(self, connection)
 
-    monkeypatch.setattr(Attempt, "send_on", goes_first)
+    monkeypatch.setattr(Attempt, "send_on", leave_first)
     client.sendall(call("invite"))
     await until(lambda: server.connections == 1)
     await until(lambda: nothing_left(bench))
-    await quiet(bench)
+    await run_loop(bench)
     assert not server.requests
 
 
@@ -183,93 +187,95 @@
 async def test_an_attempt_that_waits_for_a_connection_ends_with_its_client(
     cancel, monkeypatch
 ):
-    """Also where the settings do not let the module cancel: nothing has begun that could go on."""
+    """Also where the settings forbid the policy to cancel: nothing has started that could continue."""
     bench = await Bench(server := Server(), policy_limits={"cancel": cancel}).start()
     waits, connect = asyncio.Event(), UpstreamConnection.connect
 
-    async def late(self):
+    async def connect_late(self):
         await waits.wait()
         await connect(self)
 
-    monkeypatch.setattr(UpstreamConnection, "connect", late)
-    client = plain(bench)
+    monkeypatch.setattr(UpstreamConnection, "connect", connect_late)
+    client = plain_client(bench)
     client.sendall(call())
     await until(
         lambda: any(r.attempt is not None for r in bench.node.requests.values())
     )
     close(client)
-    await until(lambda: nothing_left(bench))  # the place at the server too
+    await until(lambda: nothing_left(bench))  # including the count at the endpoint
     waits.set()
-    await quiet(bench)
+    await run_loop(bench)
     assert not server.requests
 
 
-LONG = call("invite", body=b"x" * 300_000)[:70_000]  # the begin of one whose body flows
+# An incomplete request whose body is streamed.
+INCOMPLETE_UPLOAD = call("invite", body=b"x" * 300_000)[:70_000]
 
 
-@pytest.mark.parametrize("end", WAYS)
-@pytest.mark.parametrize("held_up", ["a large body", "requests sent ahead"])
-async def test_a_client_that_goes_while_it_is_not_read_from_leaves_the_queue_at_once(
-    end, held_up
+@pytest.mark.parametrize("end", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("paused_by", ["an upload", "pipelined requests"])
+async def test_a_client_that_leaves_while_reading_is_paused_is_removed_from_the_queue(
+    end, paused_by
 ):
-    """Failure prevented: with reading paused the loop cannot see the end; the request is sent on later."""
-    bench = await Bench(server := Server(), **BACK).start()
+    """Failure prevented: the loop cannot see the end while reading is paused, and forwards the request."""
+    bench = await Bench(server := Server(), **BACK_TIER).start()
     balancer = bench.node.balancer
-    balancer.limit.admits = lambda now, spare: False  # at the limit
-    client = plain(bench)
-    caller = await taken(bench, client)
-    if held_up == "a large body":
-        client.sendall(LONG)
+    balancer.limit.admits = lambda now, spare: False  # at the concurrency limit
+    client = plain_client(bench)
+    connection = await node_side(bench, client)
+    if paused_by == "an upload":
+        client.sendall(INCOMPLETE_UPLOAD)
     else:
         client.sendall(call("invite"))
         await until(lambda: len(balancer.queue.waiting) == 1)
         client.sendall(b"".join(call("invite") for _ in range(9)))
-    await until(lambda: caller.read_paused and len(balancer.queue.waiting) == 1)
+    await until(lambda: connection.read_paused and len(balancer.queue.waiting) == 1)
     ahead = bench.node.loop.time()
     end(client)
     await until(lambda: not bench.node.requests.by_client)
-    # In every order of the looks: one is due within so long, whatever else the machine does meanwhile.
+    # The next check is due within this interval, whatever the order of the checks and however slow the host.
     assert hangup_watch.CHECK_INTERVAL_S < 0.1
     assert bench.node.loop.time() - ahead < PATIENCE / 4
     balancer.limit.admits = lambda now, spare: True
     bench.node.post(balancer.dispatcher.serve_queue)
     await until(
         lambda: (
-            nothing_left(bench) and caller not in bench.node.client_listener.connections
+            nothing_left(bench)
+            and connection not in bench.node.client_listener.connections
         )
     )
-    await quiet(bench)
+    await run_loop(bench)
     assert not server.requests
     assert bench.node.client_listener.held_bytes == 0
     assert not bench.node.client_listener.hangup_watch.connections
 
 
-async def test_the_module_hears_once_that_a_client_has_left():
-    bench = await Bench(server := Server(), **BACK).start()
-    balancer, heard = bench.node.balancer, []
+async def test_the_policy_is_notified_once_that_a_client_has_left():
+    bench = await Bench(server := Server(), **BACK_TIER).start()
+    balancer, notified = bench.node.balancer, []
     client_disconnected = balancer.client_disconnected
     balancer.client_disconnected = lambda now, request: (
-        heard.append(request),
+        notified.append(request),
         client_disconnected(now, request),
     )
-    balancer.limit.admits = lambda now, spare: False  # at the limit
-    client = plain(bench)
-    caller = await taken(bench, client)
+    balancer.limit.admits = lambda now, spare: False  # at the concurrency limit
+    client = plain_client(bench)
+    connection = await node_side(bench, client)
     client.sendall(call())
     await until(lambda: len(balancer.queue.waiting) == 1)
     close(client)
-    assert caller.check_hangup()
-    assert caller.check_hangup()
-    await until(lambda: caller not in bench.node.client_listener.connections)
-    assert len(heard) == 1
+    assert connection.check_hangup()
+    assert connection.check_hangup()
+    await until(lambda: connection not in bench.node.client_listener.connections)
+    assert len(notified) == 1
     assert not server.requests
 
 
 @pytest.mark.parametrize(("window", "runs"), [(10_000_000, 2), (30_000, 1)])
-async def test_a_repeat_whose_window_closes_as_its_connection_comes_up_is_not_written(
+async def test_a_retry_is_not_written_if_its_window_closes_while_connecting(
     window, runs, monkeypatch
 ):
-    """Failure prevented: it is decided in time, waits for its connection, and the request runs twice."""
+    """Failure prevented: a retry is decided in time, waits for its connection, and the request runs twice."""
 
     async def fails(request, writer):
         return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
@@ -280,69 +286,68 @@
     bench = await Bench(*servers, classes=table["classes"]).start()
     connect = UpstreamConnection.connect
 
-    async def late(self):
+    async def connect_late(self):
         ran = [r.first_run_at for r in bench.node.requests.values() if r.first_run_at]
         await until(lambda: not ran or bench.node.now() > ran[0] + 30_000)
         await connect(self)
 
-    monkeypatch.setattr(UpstreamConnection, "connect", late)
+    monkeypatch.setattr(UpstreamConnection, "connect", connect_late)
     bench.node.balancer.retries.tokens = 1.0
     status, _, _ = await bench.once(call("offer"))
     assert status == 502
     assert sum(len(s.requests) for s in servers) == runs
 
 
-# ---- an orderly close --------------------------------------------------------------------------------
+# ---- closing idle connections ------------------------------------------------------------------------
 
 
-def by_drain(bench: Bench, caller: ClientConnection, monkeypatch) -> None:
+def by_drain(bench: Bench, connection: ClientConnection, monkeypatch) -> None:
     monkeypatch.setattr(listener_module, "REUSE_PERIOD_S", 0.0)
     monkeypatch.setattr(listener_module, "SETTLE_TIME_S", 0.0)
     bench.ending = asyncio.create_task(bench.node.drain())
 
 
-def by_sweep(bench: Bench, caller: ClientConnection, monkeypatch) -> None:
-    caller.reader.request_count = (
-        0  # as one that has never asked, a long time after it came
-    )
-    caller.reader.started_at -= 60.0
+def by_timeout_check(bench: Bench, connection: ClientConnection, monkeypatch) -> None:
+    # Like a connection that never sent a request, long after the accept.
+    connection.reader.request_count = 0
+    connection.reader.started_at -= 60.0
     bench.node.client_listener.close_slow()
 
 
-def by_make_room(bench: Bench, caller: ClientConnection, monkeypatch) -> None:
+def by_eviction(bench: Bench, connection: ClientConnection, monkeypatch) -> None:
     bench.node.client_listener.evict_idle()
 
 
-CLOSES = (by_drain, by_sweep, by_make_room)
+WAYS_TO_CLOSE = (by_drain, by_timeout_check, by_eviction)
 
 
-async def resting(bench: Bench) -> tuple[socket.socket, ClientConnection]:
-    """A client with one answer behind it, which it has not read yet."""
-    client = plain(bench)
+async def idle_client(bench: Bench) -> tuple[socket.socket, ClientConnection]:
+    """A client with one response, which it has not read yet, and no open request."""
+    client = plain_client(bench)
     client.sendall(READY)
-    caller = await taken(bench, client)
+    connection = await node_side(bench, client)
     await until(
-        lambda: caller.reader.request_count == 1 and caller.open_request is None
+        lambda: connection.reader.request_count == 1 and connection.open_request is None
     )
-    return client, caller
+    return client, connection
 
 
-def ended(client: socket.socket) -> bool:
-    """Whether the node's end has come."""
+def node_has_closed(client: socket.socket) -> bool:
+    """Whether the node has closed its side."""
     poll = select.poll()
     poll.register(client, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
-def unblocked(client: socket.socket) -> socket.socket:
-    """Ready for the event loop's calls."""
+def non_blocking(client: socket.socket) -> socket.socket:
+    """Makes the socket non-blocking, for calls of the event loop."""
     client.setblocking(False)
     return client
 
 
-async def rest_of(client: socket.socket) -> bytes:
-    """All that comes up to the end; a reset raises."""
-    unblocked(client)
+async def read_to_end(client: socket.socket) -> bytes:
+    """Reads everything up to the end of stream; a reset raises."""
+    non_blocking(client)
     loop, data = asyncio.get_running_loop(), b""
     async with asyncio.timeout(PATIENCE):
         while piece := await loop.sock_recv(client, 65536):
@@ -350,50 +355,54 @@
     return data
 
 
-@pytest.mark.parametrize("close_idle", CLOSES)
-async def test_bytes_that_come_between_the_look_and_the_close_reset_nothing(
+@pytest.mark.parametrize("close_idle", WAYS_TO_CLOSE)
+async def test_bytes_that_arrive_between_the_idle_check_and_the_close_cause_no_reset(
     close_idle, monkeypatch
 ):
-    """The client gets the answer that was on its way and our end, which tells it to send once more."""
+    """The client gets the response that was in transit and the end of stream, so that it may retry."""
     bench = await Bench(server := Server()).start()
-    client, caller = await resting(bench)
-    unread, failures = ClientConnection.has_unread, []
-
-    def crossed(self):
-        found = unread(self)
-        if self is caller and not found and caller.state is ConnectionState.OPEN:
+    client, connection = await idle_client(bench)
+    has_unread, failures = ClientConnection.has_unread, []
+
+    def send_after_check(self):
+        found = has_unread(self)
+        if (
+            self is connection
+            and not found
+            and connection.state is ConnectionState.OPEN
+        ):
             client.sendall(call("invite"))
         return found
 
     data_received = ClientConnection.data_received
 
     def read(self, data):
-        if not ended(client):
-            failures.append(data)  # what is read before our end is out has been taken
+        if not node_has_closed(client):
+            failures.append(
+                data
+            )  # input read before the node closes its side is accepted
         data_received(self, data)
 
-    monkeypatch.setattr(ClientConnection, "has_unread", crossed)
+    monkeypatch.setattr(ClientConnection, "has_unread", send_after_check)
     monkeypatch.setattr(ClientConnection, "data_received", read)
-    close_idle(bench, caller, monkeypatch)
-    answer = await rest_of(client)
+    close_idle(bench, connection, monkeypatch)
+    answer = await read_to_end(client)
     assert answer.count(b"HTTP/1.1 ") == 1
     assert answer.endswith(b"\r\n\r\n")
     client.close()
-    await until(lambda: caller not in bench.node.client_listener.connections)
-    await quiet(bench)
+    await until(lambda: connection not in bench.node.client_listener.connections)
+    await run_loop(bench)
     assert not server.requests
     assert bench.node.client_listener.held_bytes == 0
     assert not failures
 
 
-@pytest.mark.parametrize("close_idle", CLOSES)
-async def test_what_comes_after_our_end_is_read_and_not_sent_on(
-    close_idle, monkeypatch
-):
+@pytest.mark.parametrize("close_idle", WAYS_TO_CLOSE)
+async def test_bytes_received_after_the_close_are_discarded(close_idle, monkeypatch):
     bench = await Bench(server := Server()).start()
-    client, caller = await resting(bench)
-    close_idle(bench, caller, monkeypatch)
-    assert (await rest_of(client)).count(b"HTTP/1.1 ") == 1
+    client, connection = await idle_client(bench)
+    close_idle(bench, connection, monkeypatch)
+    assert (await read_to_end(client)).count(b"HTTP/1.1 ") == 1
     read, data_received = [], ClientConnection.data_received
     monkeypatch.setattr(
         ClientConnection,
@@ -401,86 +410,88 @@
         lambda self, data: (read.append(data), data_received(self, data)),
     )
     for n in range(3):
-        client.send(call("invite"))  # a reset would fail the next one
+        client.send(call("invite"))  # would fail after a reset by the previous one
         await until(lambda n=n: len(read) > n)
-    assert caller.state is ConnectionState.LINGERING
+    assert connection.state is ConnectionState.LINGERING
     assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
     client.close()
-    await until(lambda: caller not in bench.node.client_listener.connections)
-    await quiet(bench)
+    await until(lambda: connection not in bench.node.client_listener.connections)
+    await run_loop(bench)
     assert not server.requests
 
 
-async def test_a_request_that_has_come_before_the_look_is_served():
+async def test_a_request_received_before_the_idle_check_is_served():
     bench = await Bench(server := Server()).start()
-    client, caller = await resting(bench)
+    client, connection = await idle_client(bench)
     client.sendall(call("invite"))
     bench.node.client_listener.evict_idle()
-    caller.reader.request_count, caller.reader.started_at = (
+    connection.reader.request_count, connection.reader.started_at = (
         0,
-        caller.reader.started_at - 60.0,
+        connection.reader.started_at - 60.0,
     )
     bench.node.client_listener.close_slow()
     await until(lambda: len(server.requests) == 1)
-    assert caller.state is ConnectionState.OPEN
+    assert connection.state is ConnectionState.OPEN
     client.close()
 
 
-async def test_clients_that_never_close_their_side_keep_out_nobody_and_hold_up_no_end(
+async def test_clients_that_never_close_their_side_block_neither_new_clients_nor_the_drain(
     monkeypatch,
 ):
     monkeypatch.setattr(listener_module, "EVICTION_GRACE_S", 0.0)
-    # No connection is aborted for having lingered long.
+    # No connection is aborted for lingering too long.
     monkeypatch.setattr(linger, "LINGER_S", 600.0)
     monkeypatch.setattr(connection_module, "LINGER_S", 600.0)
     bench = await Bench(server := Server(), config={"limits": {"sockets": 48}}).start()
-    callers = bench.node.client_listener
-    table, crowd, lingered = callers.capacity + callers.overflow_capacity, [], 0
+    listener = bench.node.client_listener
+    table, clients, lingered = listener.capacity + listener.overflow_capacity, [], 0
     for _ in range(4 * table):
-        crowd.append(plain(bench))
-        await taken(bench, crowd[-1])
-        lingered = max(lingered, len(callers.lingering))
-        assert len(callers.connections) <= table
+        clients.append(plain_client(bench))
+        await node_side(bench, clients[-1])
+        lingered = max(lingered, len(listener.lingering))
+        assert len(listener.connections) <= table
     assert lingered
-    client = (
-        await bench.client()
-    )  # one that asks finds its place, and is not cut short for the next ones
+    # A client with a request is served, and is not evicted for the connections that follow.
+    client = await bench.client()
     assert (await client.ask(call()))[0] == 200
     assert len(server.requests) == 1
     for _ in range(table):
-        crowd.append(plain(bench))
-        await taken(bench, crowd[-1])
+        clients.append(plain_client(bench))
+        await node_side(bench, clients[-1])
     assert (await client.ask(call()))[0] == 200
     monkeypatch.setattr(listener_module, "REUSE_PERIOD_S", 0.0)
     monkeypatch.setattr(listener_module, "ACCEPT_PERIOD_S", 0.0)
-    await asyncio.wait_for(callers.drain(bench.node.loop.time() + 0.3), PATIENCE)
-    assert not callers.connections
-    for end in crowd:
+    await asyncio.wait_for(listener.drain(bench.node.loop.time() + 0.3), PATIENCE)
+    assert not listener.connections
+    for end in clients:
         end.close()
 
 
-# ---- behind the end ----------------------------------------------------------------------------------
+# ---- input behind the last request -------------------------------------------------------------------
 
-WHOLE = call(
+COMPLETE_UPLOAD = call(
     "invite", body=b"x" * 300_000
-)  # large enough to be handed on with its head
+)  # large enough to be dispatched with its head
 
 
 @pytest.mark.parametrize(
     "first",
     [
-        b"GET /view HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",  # answered 400 while it is read
+        b"GET /view HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",  # answered 400 while it is parsed
         b"POST /nowhere HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",  # answered 404 before its body
     ],
 )
-async def test_what_stands_behind_the_last_answer_in_the_same_bytes_is_not_sent_on(
+async def test_bytes_behind_the_last_response_are_not_forwarded(
     first,
 ):
-    """Failure prevented: our side is shut already, and the request has run with nobody to answer to."""
+    """Failure prevented: the node has closed its side, and a request runs that cannot be answered."""
     bench = await Bench(server := Server()).start()
     client = await bench.client()
     client.send(
-        first + (b"x" * 70_000 if b"nowhere" in first else b"") + WHOLE + call("invite")
+        first
+        + (b"x" * 70_000 if b"nowhere" in first else b"")
+        + COMPLETE_UPLOAD
+        + call("invite")
     )
     assert (await client.receive())[0] in (400, 404)
     assert await client.ended()
@@ -491,7 +502,7 @@
     assert bench.node.client_listener.held_bytes == 0
 
 
-async def test_requests_that_have_come_whole_before_the_end_are_answered_and_no_further_one(
+async def test_only_requests_received_completely_before_the_close_are_answered(
     monkeypatch,
 ):
     turns, read, data_received = (
@@ -518,7 +529,7 @@
     assert "connection" not in (await client.receive())[1]
     client.send(
         call("invite")[-9:] + call("invite")
-    )  # who sends ever more does not hold up the end
+    )  # a client that keeps sending does not delay the close
     await until(lambda: len(read) == 2)
     turns.release()
     assert "connection" not in (await client.receive())[1]
@@ -538,7 +549,7 @@
 @pytest.mark.parametrize(
     "last", [b"Connection: close\r\n", b"Connection: upgrade\r\nUpgrade: h2c\r\n"]
 )
-async def test_of_requests_sent_ahead_those_behind_the_last_one_are_not_sent_on(last):
+async def test_pipelined_requests_behind_the_last_one_are_not_forwarded(last):
     bench = await Bench(server := Server()).start()
     client = await bench.client()
     client.send(call("invite") + call("invite", extra=last) + call("invite"))
@@ -554,7 +565,7 @@
     assert len(server.requests) == 2
 
 
-async def test_the_time_of_a_request_sent_ahead_runs_from_its_last_byte():
+async def test_the_deadline_of_a_pipelined_request_runs_from_its_last_byte():
     async def hangs(request, writer):
         return None
 
@@ -567,11 +578,11 @@
     client.writer.close()
 
 
-# ---- answers that are still on their way -------------------------------------------------------------
+# ---- responses that are still being sent -------------------------------------------------------------
 
 
-async def flowing(bench: Bench, request: bytes) -> Client:
-    """A client that has got the begin of an answer of 300,000 bytes."""
+async def streaming_client(bench: Bench, request: bytes) -> Client:
+    """A client that has received the beginning of a response of 300,000 bytes."""
     client = await bench.client()
     client.send(request)
     assert b" 200 " in await asyncio.wait_for(
@@ -581,7 +592,7 @@
     return client
 
 
-def long_answer(more: asyncio.Event, length: bytes = b"Content-Length: 300000\r\n"):
+def long_response(more: asyncio.Event, length: bytes = b"Content-Length: 300000\r\n"):
     async def serve(request, writer):
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n%b" % (length, b"y" * 100_000))
         await more.wait()
@@ -590,10 +601,10 @@
     return Server(serve)
 
 
-async def test_noise_behind_a_request_does_not_land_in_its_answer():
-    """Failure prevented: the 400 is written into the body of the answer that flows, and passes for it."""
-    bench = await Bench(long_answer(more := asyncio.Event())).start()
-    client = await flowing(bench, call("invite"))
+async def test_invalid_bytes_behind_a_request_do_not_corrupt_its_response():
+    """Failure prevented: the 400 is written into the streamed body, where it looks like body bytes."""
+    bench = await Bench(long_response(more := asyncio.Event())).start()
+    client = await streaming_client(bench, call("invite"))
     client.send(b"nonsense\r\n\r\n")
     await until(
         lambda: all(c.reader.ended for c in bench.node.client_listener.connections)
@@ -603,19 +614,19 @@
     client.writer.close()
 
 
-async def test_a_request_that_turns_out_spoilt_under_its_answer_resets_it():
+async def test_an_upload_that_becomes_invalid_resets_its_streamed_response():
     async def early(request, writer):
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"y" * 100_000
         )
-        await asyncio.Event().wait()  # it reads no further, and keeps its side
+        await asyncio.Event().wait()  # reads no further, and keeps its side open
 
     bench = await Bench(Server(early)).start()
-    begun = call("invite")[:-2].replace(
+    incomplete = call("invite")[:-2].replace(
         b"Content-Length: 0", b"Transfer-Encoding: chunked"
     )
-    client = await flowing(
-        bench, begun + b"\r\n" + b"11000\r\n" + b"x" * 0x11000 + b"\r\n"
+    client = await streaming_client(
+        bench, incomplete + b"\r\n" + b"11000\r\n" + b"x" * 0x11000 + b"\r\n"
     )
     client.send(b"nonsense\r\n")
     with pytest.raises(ConnectionResetError):
@@ -625,10 +636,10 @@
     )
 
 
-async def test_an_answer_without_a_length_does_not_look_whole_to_who_ends_its_sending():
-    """Failure prevented: what was written of it is flushed, and our orderly end delimits it."""
+async def test_a_partial_response_without_a_length_is_reset_after_a_half_close():
+    """Failure prevented: the written part is flushed, and an orderly close makes it look complete."""
     chunked = b"Transfer-Encoding: chunked\r\n"
-    bench = await Bench(server := long_answer(asyncio.Event(), chunked)).start()
+    bench = await Bench(server := long_response(asyncio.Event(), chunked)).start()
 
     async def serve(request, writer):
         writer.write(
@@ -637,160 +648,167 @@
         await asyncio.Event().wait()
 
     server.handle = serve
-    client = await flowing(bench, call("invite").replace(b"HTTP/1.1", b"HTTP/1.0"))
+    client = await streaming_client(
+        bench, call("invite").replace(b"HTTP/1.1", b"HTTP/1.0")
+    )
     client.writer.write_eof()
     with pytest.raises(ConnectionResetError):
         await asyncio.wait_for(client.reader.read(), PATIENCE)
     await until(lambda: nothing_left(bench))
 
 
-async def held_up(bench: Bench) -> tuple[socket.socket, ClientConnection]:
-    """A client that does not read, so that part of its answer of 60,000 bytes stays in the write buffer."""
+async def slow_client(bench: Bench) -> tuple[socket.socket, ClientConnection]:
+    """A client that does not read, so that part of its 60,000-byte response stays in the write buffer."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     client.connect(("127.0.0.1", bench.port))
-    caller = await taken(bench, client)
-    set_socket_option(caller.fileno(), socket.SO_SNDBUF, 4096)
+    connection = await node_side(bench, client)
+    set_socket_option(connection.fileno(), socket.SO_SNDBUF, 4096)
     client.sendall(call("invite"))
     await until(
         lambda: (
-            caller.reader.request_count == 1
-            and caller.open_request is None
-            and caller.has_unsent()
+            connection.reader.request_count == 1
+            and connection.open_request is None
+            and connection.has_unsent()
         )
     )
-    return client, caller
+    return client, connection
 
 
-HELD = b"z" * 60_000
+BUFFERED_BODY = b"z" * 60_000
 
 
 async def large(request, writer):
-    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(HELD), HELD)
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (
+        len(BUFFERED_BODY),
+        BUFFERED_BODY,
+    )
 
 
-async def test_an_answer_that_is_still_in_the_buffer_reaches_who_ends_its_sending_then():
+async def test_a_buffered_response_reaches_a_client_that_half_closes():
     bench = await Bench(Server(large)).start()
-    client, caller = await held_up(bench)
+    client, connection = await slow_client(bench)
     half_close(client)
-    await until(lambda: caller.state is ConnectionState.HALF_CLOSED)
-    assert (await rest_of(client)).endswith(b"\r\n\r\n" + HELD)
+    await until(lambda: connection.state is ConnectionState.HALF_CLOSED)
+    assert (await read_to_end(client)).endswith(b"\r\n\r\n" + BUFFERED_BODY)
     client.close()
 
 
-async def test_an_answer_that_is_still_in_the_buffer_is_not_cut_as_the_node_ends(
+async def test_a_buffered_response_is_not_cut_off_by_the_drain(
     monkeypatch,
 ):
-    """Failure prevented: a client that reads slowly loses at the exit what it had time to read."""
+    """Failure prevented: a client that reads slowly loses, at the exit, bytes that it had time to read."""
     monkeypatch.setattr(listener_module, "REUSE_PERIOD_S", 0.0)
     monkeypatch.setattr(listener_module, "ACCEPT_PERIOD_S", 0.0)
     bench = await Bench(Server(large)).start()
-    client, caller = await held_up(bench)
+    client, connection = await slow_client(bench)
     ends = bench.node.loop.time() + 0.1
     drain = asyncio.create_task(bench.node.client_listener.drain(ends))
     await until(
         lambda: bench.node.loop.time() > ends + 0.3
-    )  # the time of those that only linger is over
-    assert caller.state is ConnectionState.LINGERING
+    )  # lingering connections without unsent bytes would be aborted by now
+    assert connection.state is ConnectionState.LINGERING
     assert not drain.done()
-    assert (await rest_of(client)).endswith(b"\r\n\r\n" + HELD)
+    assert (await read_to_end(client)).endswith(b"\r\n\r\n" + BUFFERED_BODY)
     client.close()
     await asyncio.wait_for(drain, PATIENCE)
 
 
-async def test_small_writes_go_out_at_once_on_both_sides():
-    """Failure prevented: what the kernel holds back for company goes with a reset."""
+async def test_small_writes_are_sent_immediately_on_both_sides():
+    """Failure prevented: bytes that the kernel delays to coalesce them are lost with a reset."""
     bench = await Bench(server := Server()).start()
-    client = plain(bench)
-    caller = await taken(bench, client)
+    client = plain_client(bench)
+    connection = await node_side(bench, client)
     client.sendall(call())
-    await until(lambda: len(server.requests) == 1 and caller.open_request is None)
+    await until(lambda: len(server.requests) == 1 and connection.open_request is None)
     (endpoint,) = bench.node.pool.endpoints.values()
-    for transport in (caller.transport, endpoint.idle[0].transport):
+    for transport in (connection.transport, endpoint.idle[0].transport):
         number = transport.get_extra_info("socket").fileno()
         with socket.socket(fileno=socket.dup(number)) as s:
             assert s.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) == 1
     client.close()
 
 
-# ---- floods ------------------------------------------------------------------------------------------
+# ---- bursts and floods -------------------------------------------------------------------------------
 
 
-async def test_who_brings_a_request_is_not_refused_for_a_crowd_that_says_nothing():
-    """Failure prevented: those that came beyond the budget stand idle, and whoever comes next is refused."""
+async def test_a_request_is_not_rejected_because_of_idle_connections():
+    """Failure prevented: connections beyond the capacity stay idle, and the next client is rejected."""
     bench = await Bench(server := Server(), config={"limits": {"sockets": 48}}).start()
-    callers = bench.node.client_listener
-    crowd = []
+    listener = bench.node.client_listener
+    clients = []
     while (
-        callers.served_count() < callers.capacity
-    ):  # clients that have asked once, and rest
-        crowd.append((await resting(bench))[0])
-    for caller in callers.connections:
-        caller.reader.request_count = 2
-    make_room, callers.evict_idle = callers.evict_idle, lambda within=False: None
+        listener.served_count() < listener.capacity
+    ):  # clients that have sent a request, and are idle
+        clients.append((await idle_client(bench))[0])
+    for connection in listener.connections:
+        connection.reader.request_count = 2
+    evict_idle, listener.evict_idle = listener.evict_idle, lambda within=False: None
     while (
-        len(callers.over_capacity) < callers.overflow_capacity - 1
-    ):  # and such as never asked, that came when it was full
-        crowd.append(plain(bench))
-        await taken(bench, crowd[-1])
-    callers.evict_idle = make_room
+        len(listener.over_capacity) < listener.overflow_capacity - 1
+    ):  # and clients that never sent one, accepted beyond the capacity
+        clients.append(plain_client(bench))
+        await node_side(bench, clients[-1])
+    listener.evict_idle = evict_idle
     client = await bench.client()
     assert (await client.ask(call("invite")))[0] == 200
     assert len(server.requests) == 1
-    for end in crowd:
+    for end in clients:
         end.close()
 
 
-async def test_a_crowd_that_connects_at_once_and_asks_a_moment_later_gets_an_answer_each(
+async def test_clients_that_connect_together_and_send_later_are_all_answered(
     monkeypatch,
 ):
-    """Failure prevented: each one that comes closes one that came before it and has not asked yet."""
+    """Failure prevented: each new connection evicts an earlier one that has not sent its request yet."""
     monkeypatch.setattr(
         listener_module, "EVICTION_GRACE_S", 60.0
-    )  # however slow the machine
+    )  # however slow the host
     bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
-    callers, crowd = bench.node.client_listener, []
+    listener, clients = bench.node.client_listener, []
     for count in (
-        callers.capacity,
-        callers.capacity + callers.overflow_capacity,
-    ):  # in two turns
-        crowd += [plain(bench) for _ in range(count - len(crowd))]
+        listener.capacity,
+        listener.capacity + listener.overflow_capacity,
+    ):  # in two iterations of the event loop
+        clients += [plain_client(bench) for _ in range(count - len(clients))]
         await until(
             lambda count=count: (
-                sum(c.transport is not None for c in callers.connections) == count
+                sum(c.transport is not None for c in listener.connections) == count
             )
         )
-    for client in crowd:
+    for client in clients:
         client.sendall(call())
     loop = asyncio.get_running_loop()
-    for client in crowd:
-        answer = await asyncio.wait_for(loop.sock_recv(unblocked(client), 99), PATIENCE)
+    for client in clients:
+        answer = await asyncio.wait_for(
+            loop.sock_recv(non_blocking(client), 99), PATIENCE
+        )
         assert answer[9:12] in (b"200", b"503")
         client.close()
 
 
-@pytest.mark.parametrize("end", WAYS)
-async def test_what_a_client_has_sent_that_is_gone_is_not_even_parsed(end):
-    """Failure prevented: a flood of such clients costs a second of parsing, in which nobody is answered."""
+@pytest.mark.parametrize("end", WAYS_TO_LEAVE)
+async def test_input_of_a_client_that_has_left_is_not_parsed(end):
+    """Failure prevented: a flood of such clients costs a second of parsing, with no client answered."""
     bench = await Bench(Server()).start()
-    client = plain(bench)
-    caller = await taken(bench, client)
+    client = plain_client(bench)
+    connection = await node_side(bench, client)
     client.sendall(READY * 800)
     end(client)
-    await until(lambda: caller not in bench.node.client_listener.connections)
-    assert caller.reader.request_count == 0
+    await until(lambda: connection not in bench.node.client_listener.connections)
+    assert connection.reader.request_count == 0
 
 
-async def test_what_a_client_sends_ahead_waits_in_the_kernel_and_is_answered_in_its_turn():
+async def test_pipelined_requests_wait_in_the_kernel_and_are_answered_in_order():
     bench = await Bench(Server()).start()
     client = await bench.client()
     client.send(READY * 800)
     await until(lambda: bool(bench.node.client_listener.connections))
-    (caller,) = bench.node.client_listener.connections
+    (connection,) = bench.node.client_listener.connections
     for _ in range(800):
         assert (await client.receive())[0] in (200, 503)
         assert (
-            len(caller.pipelined)
+            len(connection.pipelined)
             <= connection_module.MAX_PIPELINED_REQUESTS
             + request_reader.PARSE_SLICE_BYTES // len(READY)
         )
@@ -800,14 +818,17 @@
 @pytest.mark.parametrize(
     "junk",
     [
-        call("invite")[:-2] + b"X-Fill: " + b"x" * 30_000,  # heads that never end
+        call("invite")[:-2] + b"X-Fill: " + b"x" * 30_000,  # incomplete heads
         b"nonsense " * 4000,
-        b"POST /invite HTTP/1.1\r\nContent-Length: 0\r\n\r\n" * 600,  # without an id
+        b"POST /invite HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
+        * 600,  # without a call id
         b"GET /ready HTTP/1.1\r\n\r\n" * 1000,
     ],
 )
-async def test_a_flood_of_clients_that_send_much_and_go_leaves_the_others_served(junk):
-    """Clients that send 30 kB at once and go, while others ask all the time; nothing of it is kept."""
+async def test_a_flood_of_clients_that_send_much_and_leave_does_not_affect_the_others(
+    junk,
+):
+    """Clients send 30 kB at once and leave, while others send requests continuously; nothing is kept."""
     bench = await Bench(server := Server(), config={"limits": {"sockets": 256}}).start()
     over, served = asyncio.Event(), 0
 
@@ -837,18 +858,18 @@
     assert nothing_left(bench)
 
 
-async def test_a_request_that_waits_its_turn_as_the_node_ends_gets_its_answer(
+async def test_a_pipelined_request_is_answered_during_a_drain(
     monkeypatch,
 ):
-    """Failure prevented: between two answers nothing is open, and the connection passes for a resting one."""
+    """Failure prevented: between two responses no request is open, and the connection looks idle."""
     bench = await Bench(server := Server()).start()
     after_answer, ticks = ClientConnection.after_response, []
 
     def then_drain(self, message, close):
         after_answer(self, message, close)
-        if not ticks:  # the next one is handed on in the next turn only
+        if not ticks:  # the next request is dispatched in the next iteration
             ticks.append(bench.node.client_listener.drain(0.0))
-            ticks[0].send(None)  # up to its first sleep, all time being over
+            ticks[0].send(None)  # runs to its first sleep, with all periods over
 
     monkeypatch.setattr(ClientConnection, "after_response", then_drain)
     client = await bench.client()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The real node over loopback sockets: what it passes on, its outcomes, its rules and its ends."""
+"""The real node over loopback sockets: forwarding, outcomes, limits, configuration, start and drain."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 
 
 def always(*answers: bytes | None):
-    """A handle that gives these answers in turn, the last one for good."""
+    """A handler that returns these responses in order, and repeats the last one."""
     left = list(answers)
 
     async def handle(request, writer):
@@ -46,21 +46,21 @@
     return handle
 
 
-HIDDEN = b"0\r\n\r\n" + call("invite")
+HIDDEN_REQUEST = b"0\r\n\r\n" + call("invite")
 
 
 def chunked(coding: bytes) -> bytes:
-    """A request with a chunked body, said to have this coding."""
+    """A request with a chunked body that declares this transfer coding."""
     data = call("invite", extra=b"Transfer-Encoding: %b\r\n" % coding, body=b"")
     return data.replace(b"Content-Length: 0\r\n", b"") + b"2\r\nok\r\n0\r\n\r\n"
 
 
-MANY_LINES = b"GET /view HTTP/1.1\r\n" + b"a: b\r\n" * 1000
+TOO_MANY_HEADERS = b"GET /view HTTP/1.1\r\n" + b"a: b\r\n" * 1000
 
 
 @contextmanager
 def cut_off():
-    """The port of a listener that takes nobody: its backlog is full, so connections never come up."""
+    """The port of a listener that accepts nothing: its backlog is full, so connecting never completes."""
     with ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
@@ -72,10 +72,10 @@
         yield listener.getsockname()[1]
 
 
-# ---- passing on --------------------------------------------------------------------------------------
+# ---- forwarding --------------------------------------------------------------------------------------
 
 
-def test_a_request_and_its_answer_go_through_unchanged():
+def test_a_request_and_its_response_are_forwarded_unchanged():
     body = bytes(range(256)) * 256
 
     async def scene():
@@ -100,8 +100,8 @@
     play(scene)
 
 
-def test_the_size_of_a_head_does_not_count_what_came_before_it():
-    """Failure prevented: a request whose head begins behind another's body is refused as too large."""
+def test_the_size_of_a_head_does_not_include_earlier_bytes():
+    """Failure prevented: a request whose head follows another's body in one read is rejected as too large."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -116,8 +116,8 @@
     play(scene)
 
 
-def test_requests_sent_ahead_are_held_within_a_bound():
-    """Failure prevented: many clients that send large requests ahead end the process for its memory."""
+def test_pipelined_requests_are_held_within_the_memory_budget():
+    """Failure prevented: pipelined large requests of many clients exhaust the memory of the process."""
 
     async def scene():
         release = asyncio.Event()
@@ -127,11 +127,10 @@
             return OK
 
         bench = await Bench(server := Server(held)).start()
-        callers = bench.node.client_listener
-        assert (
-            callers.max_held_bytes == 16 << 20
-        )  # an eighth of the memory that is given if none is named
-        callers.max_held_bytes = 150_000
+        listener = bench.node.client_listener
+        # An eighth of the default memory, as the settings name none.
+        assert listener.max_held_bytes == 16 << 20
+        listener.max_held_bytes = 150_000
 
         def large():
             return call("invite", body=b"x" * 60000)
@@ -139,24 +138,24 @@
         (first := await bench.client()).send(large())
         await until(lambda: len(server.requests) == 1)
         (second := await bench.client()).send(large())
-        await until(lambda: callers.held_bytes > 120_000)
+        await until(lambda: listener.held_bytes > 120_000)
         status, headers, _ = await bench.once(large())
         assert status == 503
         assert float(headers["retry-after"]) > 0
         second.writer.transport.abort()
-        await until(lambda: callers.held_bytes < 120_000)
-        first.send(large())  # waits behind its first
-        await until(lambda: callers.held_bytes > 120_000)
+        await until(lambda: listener.held_bytes < 120_000)
+        first.send(large())  # queued behind the client's first request
+        await until(lambda: listener.held_bytes > 120_000)
         release.set()
         assert (await first.receive())[0] == 200
         assert (await first.receive())[0] == 200
-        assert callers.held_bytes == 0
+        assert listener.held_bytes == 0
 
     play(scene)
 
 
-def test_headers_that_are_for_this_hop_end_here():
-    """Failure prevented: what a client agreed with the node alone is taken up by the server."""
+def test_hop_by_hop_headers_are_not_forwarded():
+    """Failure prevented: headers that apply only between the client and the node reach the server."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -166,15 +165,14 @@
         assert "x-trace" not in request.headers
         assert "connection" not in request.headers
         assert request.headers["x-kept"] == "6"
-        assert (
-            request.headers["x-call-id"] == "9b1f"
-        )  # part of the contract, whatever a client says
+        # Always forwarded, even if `Connection` names it.
+        assert request.headers["x-call-id"] == "9b1f"
 
     play(scene)
 
 
-def test_requests_in_pieces_and_in_a_row_are_answered_in_order():
-    """Failure prevented: a request cut anywhere by the network, or sent before the last answer, is lost."""
+def test_split_and_pipelined_requests_are_answered_in_order():
+    """Failure prevented: a request that is split by the network, or pipelined, is lost."""
 
     async def scene():
         async def name(request, writer):
@@ -197,7 +195,7 @@
     play(scene)
 
 
-def test_connections_to_a_server_are_used_again():
+def test_connections_to_a_server_are_reused():
     async def scene():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
@@ -229,7 +227,7 @@
             413,
         ),
         (b"GET /view HTTP/1.1\r\nX-Long: " + b"x" * 40000, 431),
-        (MANY_LINES, 431),
+        (TOO_MANY_HEADERS, 431),
         (
             call("invite", extra=b"Content-Length: 60000000\r\n").replace(
                 b"Content-Length: 0\r\n", b""
@@ -237,7 +235,12 @@
             413,
         ),
         (call("invite", extra=b"Content-Length: 0\r\n"), 400),
-        (call("invite", extra=b"Transfer-Encoding: chunked\r\n", body=HIDDEN), 400),
+        (
+            call(
+                "invite", extra=b"Transfer-Encoding: chunked\r\n", body=HIDDEN_REQUEST
+            ),
+            400,
+        ),
         (call("invite").replace(b"Content-Length: 0", b"Content-Length: +0"), 400),
         (call("invite").replace(b"Content-Length: 0", b"Content-Length: -1"), 400),
         (
@@ -265,9 +268,9 @@
         ),
     ],
 )
-def test_bad_input_gets_its_status_and_harms_nobody(data, status):
-    """Failure prevented: what comes from outside ends the process, or a request with no right to a repeat
-    is taken for one that has it.
+def test_invalid_input_gets_its_status_and_affects_no_other_request(data, status):
+    """Failure prevented: input from outside ends the process, or a request that may not be retried is taken
+    for one that may.
     """
 
     async def scene():
@@ -279,7 +282,7 @@
     play(scene)
 
 
-def test_ready_once_there_is_a_list():
+def test_the_node_is_ready_once_it_has_an_endpoint_list():
     async def scene():
         bench = await Bench(server := Server(), config={"known": None}).start()
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
@@ -293,7 +296,7 @@
 # ---- outcomes ----------------------------------------------------------------------------------------
 
 
-def test_an_unsafe_request_goes_on_after_a_refused_connection():
+def test_an_unsafe_request_is_retried_after_a_refused_connection():
     async def scene():
         bench = await Bench(dead := Server(), alive := Server()).start()
         dead.server.close()
@@ -304,8 +307,8 @@
     play(scene)
 
 
-def test_a_connection_that_never_comes_up_ends_in_the_connect_time_out():
-    """Failure prevented: a machine that is cut off says nothing, and costs a request its whole time."""
+def test_a_connection_that_is_never_established_ends_in_the_connect_timeout():
+    """Failure prevented: a host that is cut off does not answer, and costs a request its entire deadline."""
 
     async def scene():
         with cut_off() as port:
@@ -317,21 +320,21 @@
             bench.discovery.say(43, False, silent.entry("s0"))
             await until(lambda: len(bench.discovery.requests) == 2)
             outcomes = []
-            told = bench.node.balancer.outcome
+            original = bench.node.balancer.outcome
 
             def outcome(now, request, number, server, outcome, *rest):
                 outcomes.append(outcome)
-                told(now, request, number, server, outcome, *rest)
+                original(now, request, number, server, outcome, *rest)
 
             bench.node.balancer.outcome = outcome
             while Outcome.CONNECT_FAILED not in outcomes:
                 assert (await bench.once(call("invite")))[
                     0
-                ] == 200  # it cannot have run: sent on
+                ] == 200  # the request cannot have run, so it is forwarded again
             assert set(outcomes) == {Outcome.CONNECT_FAILED, Outcome.OK}
             assert len(alive.requests) == outcomes.count(Outcome.OK)
             endpoints = bench.node.pool.endpoints.values()
-            # None is counted for ever: what may still come up is given up after a while.
+            # No connection is counted for ever: those that are still connecting are cancelled after a while.
             await until(
                 lambda: (
                     bench.node.pool.open_count == sum(len(e.idle) for e in endpoints)
@@ -342,7 +345,7 @@
     play(scene)
 
 
-def test_an_unsafe_request_goes_on_after_being_turned_away():
+def test_an_unsafe_request_is_retried_after_a_rejection():
     async def scene():
         bench = await Bench(Server(always(FULL)), Server(always(FULL))).start()
         status, headers, _ = await bench.once(call("invite"))
@@ -354,8 +357,8 @@
 
 
 @pytest.mark.parametrize("answer", [BUSY, BROKEN])
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(answer):
-    """Failure prevented: a 503 of a tier behind, without the mark, is taken for proof that nothing ran."""
+def test_an_unsafe_request_that_may_have_run_is_not_retried(answer):
+    """Failure prevented: a 503 of a tier behind, without the mark, is taken as proof that nothing ran."""
 
     async def scene():
         bench = await Bench(Server(always(answer)), Server(always(answer))).start()
@@ -366,7 +369,7 @@
     play(scene)
 
 
-def test_a_connection_that_breaks_after_the_request_is_a_reset():
+def test_a_connection_lost_after_the_request_is_a_reset():
     async def scene():
         async def cut(request, writer):
             raise ConnectionResetError
@@ -378,13 +381,13 @@
     play(scene)
 
 
-def test_a_connection_that_breaks_before_the_last_byte_never_ran(monkeypatch):
-    """Failure prevented: a large request that the server never got whole is failed as if it had run."""
+def test_a_request_whose_connection_is_lost_before_its_last_byte_never_ran(monkeypatch):
+    """Failure prevented: a request that the server received only in part is failed as if it had run."""
     made = UpstreamConnection.connection_made
 
     def small(
         self, transport
-    ):  # so that the kernel does not take the whole request at once
+    ):  # so that the kernel does not accept the complete request at once
         with socket.socket(
             fileno=os.dup(transport.get_extra_info("socket").fileno())
         ) as s:
@@ -421,20 +424,20 @@
 
 
 def record_outcomes(bench):
-    """The outcomes that the module is told from here on."""
+    """Records the outcomes that are reported to the policy from here on."""
     outcomes = []
-    told = bench.node.balancer.outcome
+    original = bench.node.balancer.outcome
 
     def outcome(now, request, attempt, server, outcome, *rest):
         outcomes.append(outcome)
-        told(now, request, attempt, server, outcome, *rest)
+        original(now, request, attempt, server, outcome, *rest)
 
     bench.node.balancer.outcome = outcome
     return outcomes
 
 
 def test_a_time_out_ends_the_attempt_and_its_connection():
-    """Failure prevented: a late answer on a connection that is used again is taken for another request's."""
+    """Failure prevented: a late response on a reused connection is taken for another request's."""
 
     async def scene():
         bench = await Bench(server := Server(always(None, OK))).start()
@@ -449,7 +452,7 @@
     play(scene)
 
 
-def test_a_client_that_leaves_ends_its_attempt_only():
+def test_a_client_that_leaves_ends_only_its_own_attempt():
     async def scene():
         bench = await Bench(server := Server(always(None))).start()
         leaving, staying = await bench.client(), await bench.client()
@@ -464,7 +467,7 @@
     play(scene)
 
 
-def test_a_connection_that_the_server_closed_is_not_used_again():
+def test_a_connection_that_the_server_closed_is_not_reused():
     async def scene():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
@@ -481,8 +484,8 @@
     play(scene)
 
 
-def test_connections_idle_no_longer_than_servers_let_them():
-    """Failure prevented: servers close sooner than the settings say; what is written just then is reset."""
+def test_connections_are_not_kept_idle_longer_than_servers_allow():
+    """Failure prevented: servers close earlier than the settings say, and a request written then is reset."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -500,9 +503,9 @@
             await until(lambda: not endpoint.idle)
             return endpoint.idle_limit_s
 
-        for idle in (0, 0, 0):  # a close right after an answer tells nothing
+        for idle in (0, 0, 0):  # a close right after a response says nothing
             assert await closed_after(idle) > stated
-        # Closes at any age tell nothing of the next one.
+        # Closes at inconsistent ages do not predict the next one.
         for idle in (2.0, 0.6, 3.0, 0.2, 1.0, 1.5, 0.4, 0.8, 2.0):
             assert await closed_after(idle) > stated
         assert await closed_after(2.05) > stated
@@ -515,14 +518,15 @@
         assert server.connections == made + 1
         endpoint.idle[0].idle_since -= learned + 0.1
         assert (await client.ask(call()))[0] == 200
-        assert server.connections == made + 2  # it was not used again
+        assert server.connections == made + 2  # the idle connection was not reused
         pool.sweep()
-        assert learned < endpoint.idle_limit_s < stated  # what was learned fades
+        # A learned limit is relaxed over time.
+        assert learned < endpoint.idle_limit_s < stated
 
     play(scene)
 
 
-def test_a_close_that_waits_in_the_socket_is_seen_before_the_connection_is_used():
+def test_a_pending_close_is_detected_before_the_connection_is_reused():
     """Failure prevented: an unsafe request is written to a connection that its server has closed, and
     counts as one that may have run.
     """
@@ -537,14 +541,14 @@
         with socket.socket(
             fileno=os.dup(writer.get_extra_info("socket").fileno())
         ) as end:
-            end.shutdown(socket.SHUT_WR)  # the node's loop has no turn from here on
+            end.shutdown(socket.SHUT_WR)  # no iteration of the node's loop from here on
             assert bench.node.pool.acquire(endpoint) is None
         assert (await client.ask(call("invite")))[0] == 200
 
     play(scene)
 
 
-def test_headers_that_come_twice_and_offers_of_other_protocols():
+def test_repeated_headers_are_forwarded_and_upgrades_are_not():
     async def scene():
         bench = await Bench(server := Server()).start()
         extra = b"X-Tag: 1\r\nX-Tag: 2\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n"
@@ -559,9 +563,9 @@
     play(scene)
 
 
-def test_a_connection_that_is_lost_before_the_request_is_written_never_ran():
-    """Failure prevented: a server at its cap takes a connection and ends it at once; the write then raises,
-    nothing ends the attempt, and at its time-out it counts as one that may have run.
+def test_a_request_whose_connection_is_lost_before_the_write_never_ran():
+    """Failure prevented: a server at its limit accepts a connection and closes it immediately; the write then
+    raises, nothing ends the attempt, and at its timeout it counts as one that may have run.
     """
 
     async def scene():
@@ -589,8 +593,8 @@
     play(scene)
 
 
-def test_stray_bytes_on_an_idle_connection_close_it():
-    """Failure prevented: bytes left over from one answer are served as the next one."""
+def test_surplus_bytes_on_an_idle_connection_close_it():
+    """Failure prevented: bytes left over from one response are delivered as the next one."""
 
     async def scene():
         bench = await Bench(
@@ -629,8 +633,8 @@
         ),
     ],
 )
-def test_a_good_answer_is_served_whatever_comes_with_it(answer, connections):
-    """Failure prevented: noise behind a whole answer fails a request that has run."""
+def test_a_valid_response_is_delivered_whatever_surrounds_it(answer, connections):
+    """Failure prevented: invalid bytes behind a complete response fail a request that has run."""
 
     async def scene():
         bench = await Bench(
@@ -640,9 +644,8 @@
         for _ in range(2):
             status, headers, body = await client.ask(call("invite"))
             assert (status, headers["content-type"], body) == (200, "text/plain", b"ok")
-        assert (
-            server.connections == connections
-        )  # one with strays on it is not used again
+        # A connection with surplus bytes is not reused.
+        assert server.connections == connections
 
     play(scene)
 
@@ -666,8 +669,8 @@
         + b"p" * 600000,
     ],
 )
-def test_a_spoilt_answer_fails_its_attempt_at_once(answer):
-    """Failure prevented: it is served as good, or the attempt waits out its time for bytes without end.
+def test_an_invalid_response_fails_its_attempt_immediately(answer):
+    """Failure prevented: the response is delivered, or the attempt waits until its timeout for endless bytes.
 
     The server keeps the connection open, so only the node can end it.
     """
@@ -684,8 +687,8 @@
     play(scene)
 
 
-def test_a_report_that_cannot_be_is_none():
-    """Failure prevented: a value that is no number, endless or negative goes into an average for good."""
+def test_an_invalid_load_report_is_ignored():
+    """Failure prevented: a value that is not a number, infinite or negative spoils an average for good."""
 
     async def scene():
         names = (await Bench(Server()).start()).node.config.report_names
@@ -696,7 +699,7 @@
     play(scene)
 
 
-def test_an_oversized_answer_fails_the_attempt():
+def test_an_oversized_response_fails_the_attempt():
     async def scene():
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + b"x" * 65537
         bench = await Bench(Server(always(large))).start()
@@ -705,8 +708,8 @@
     play(scene)
 
 
-def test_a_refusal_comes_at_once_with_advice():
-    """Failure prevented: a request that the module gave up is held back until near its deadline."""
+def test_a_rejection_is_sent_immediately_with_retry_after():
+    """Failure prevented: a request that the policy has rejected is held back until near its deadline."""
 
     async def scene():
         bench = await Bench().start()
@@ -717,7 +720,7 @@
     play(scene)
 
 
-def test_a_request_without_time_is_not_sent():
+def test_a_request_without_time_is_not_forwarded():
     async def scene():
         bench = await Bench(server := Server()).start()
         assert (await bench.once(call("invite", budget=0)))[0] == 503
@@ -726,10 +729,10 @@
     play(scene)
 
 
-# ---- the module's failures ---------------------------------------------------------------------------
+# ---- failures of the policy --------------------------------------------------------------------------
 
 
-def test_the_guard_answers_what_the_module_forgets():
+def test_the_deadline_guard_answers_a_request_that_the_policy_leaves_open():
     async def scene():
         bench = await Bench(Server()).start()
         bench.node.balancer.request = lambda *args: None
@@ -739,8 +742,8 @@
     play(scene)
 
 
-def test_an_exception_in_the_node_answers_that_request():
-    """Failure prevented: the event loop closes the connection, and the request has no answer."""
+def test_an_exception_in_the_node_fails_only_that_request():
+    """Failure prevented: the event loop closes the connection, and the request gets no response."""
 
     async def scene():
         bench = await Bench(Server()).start()
@@ -753,7 +756,7 @@
     play(scene)
 
 
-def test_an_exception_in_one_request_fails_that_request():
+def test_an_exception_in_the_policy_fails_only_that_request():
     async def scene():
         bench = await Bench(Server()).start()
         sound = bench.node.balancer.request
@@ -769,10 +772,10 @@
     play(scene)
 
 
-# ---- the list ----------------------------------------------------------------------------------------
+# ---- the endpoint list -------------------------------------------------------------------------------
 
 
-def test_a_watch_is_renewed_at_once_with_the_version_in_hand():
+def test_a_long_poll_is_renewed_immediately_with_the_current_version():
     async def scene():
         bench = await Bench(server := Server()).start()
         bench.discovery.say(43, False, server.entry("s0"))
@@ -786,8 +789,8 @@
 
 
 @pytest.mark.parametrize("full", [False, True])
-def test_nothing_new_goes_to_a_server_that_drains_or_left(full):
-    """Failure prevented: an open connection, or a pooled one, carries requests to a server after its end."""
+def test_no_new_request_goes_to_a_server_that_drains_or_has_left(full):
+    """Failure prevented: an open or idle connection carries requests to a server that drains or has left."""
 
     async def scene():
         bench = await Bench(going := Server(), staying := Server()).start()
@@ -806,8 +809,8 @@
     play(scene)
 
 
-def test_a_server_that_drains_while_its_connection_comes_up_gets_no_byte():
-    """Failure prevented: the server was ready at the send, and the request is written after its drain."""
+def test_no_byte_is_sent_to_a_server_that_drains_while_connecting():
+    """Failure prevented: the server was ready at the send, but the request is written after it drains."""
 
     async def scene():
         bench = await Bench(
@@ -818,7 +821,7 @@
         start = bench.node.balancer.request
 
         def request(*args):
-            start(*args)  # a connection is being opened; then the news comes
+            start(*args)  # a connection is being established; then the update arrives
             body = {"version": 43, "full": True, "servers": [staying.entry("s1")]}
             bench.node.discovery.on_watch_answer(
                 bench.node.discovery.watch_call, json.dumps(body).encode()
@@ -854,8 +857,8 @@
         b'{"full":true,"servers":[]}',
     ],
 )
-def test_garbage_from_discovery_leaves_the_list_alone(body):
-    """Failure prevented: an answer that cannot be read empties the list, or ends the process."""
+def test_an_invalid_answer_from_discovery_leaves_the_list_unchanged(body):
+    """Failure prevented: an answer that cannot be parsed empties the list, or ends the process."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -867,12 +870,12 @@
     play(scene)
 
 
-def test_a_failed_watch_is_asked_for_again():
+def test_a_failed_long_poll_is_repeated():
     async def scene():
         bench = await Bench(Server()).start()
         bench.discovery.raw(b"", b"503 Busy")
         await until(lambda: len(bench.discovery.requests) == 2)
-        bench.discovery.answers.put_nowait(None)  # the connection breaks
+        bench.discovery.answers.put_nowait(None)  # the connection is lost
         await until(lambda: len(bench.discovery.requests) == 3)
         assert (await bench.once(call()))[0] == 200
 
@@ -880,25 +883,25 @@
 
 
 @pytest.mark.parametrize("how", ["down", "cut off", "silent"])
-def test_the_watch_outlives_an_outage_of_discovery(how, monkeypatch):
-    """Failure prevented: a call that is never answered is waited for, and the list stays as it was."""
+def test_the_watch_continues_after_an_outage_of_discovery(how, monkeypatch):
+    """Failure prevented: the node waits for ever for an unanswered poll, and the list becomes stale."""
 
     async def scene():
         for module in ("call", "client"):
             place = f"loadbalancer.node.discovery.{module}.SILENCE_S"
             monkeypatch.setattr(place, 0.2)
-        rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
+        rules = settings()["rules"] | {"ask_within": MOMENT}  # polls again soon
         bench = Bench(old := Server(), rules=rules)
         bench.discovery.silent = how == "silent"
         await bench.start()
         await Server.start(new := Server())
         node = bench.node
         failed = []
-        told = node.balancer.update_endpoints
+        original = node.balancer.update_endpoints
 
         def update_endpoints(now, kind, entries):
             failed.append(kind == ListUpdateKind.FAILED)
-            told(now, kind, entries)
+            original(now, kind, entries)
 
         node.balancer.update_endpoints = update_endpoints
         with cut_off() as nowhere:
@@ -935,11 +938,11 @@
     play(scene)
 
 
-# ---- ids that are open already -----------------------------------------------------------------------
+# ---- call ids of open requests -----------------------------------------------------------------------
 
 
-def test_the_id_of_another_clients_open_request_is_refused_before_the_module():
-    """Failure prevented: servers take it for a mistake, and their errors close the limit to everybody."""
+def test_the_call_id_of_another_open_request_is_rejected_without_the_policy():
+    """Failure prevented: servers answer with errors, which lower the concurrency limit for all clients."""
 
     async def scene():
         release = asyncio.Event()
@@ -961,15 +964,15 @@
         assert (await first.receive())[0] == 200
         assert (await bench.once(call("invite", name=b"7f01")))[
             0
-        ] == 200  # it is open no more
+        ] == 200  # no request with this id is open any more
         assert not bench.node.requests.by_call_id
 
     play(scene)
 
 
 @pytest.mark.parametrize("seen", [False, True])
-def test_a_repeat_of_a_request_whose_client_has_left_is_served(seen):
-    """Failure prevented: a client whose connection broke asks again under its id and is turned away."""
+def test_a_retry_of_a_request_whose_client_has_left_is_served(seen):
+    """Failure prevented: a client whose connection was lost retries under its id and is rejected."""
 
     async def scene():
         release = asyncio.Event()
@@ -984,14 +987,14 @@
         ).start()
         (first := await bench.client()).send(call("invite", name=b"7f02"))
         await until(lambda: len(server.requests) == 1)
-        (caller,) = bench.node.client_listener.connections
+        (connection,) = bench.node.client_listener.connections
         if seen:
             first.writer.transport.abort()
             await until(lambda: not bench.node.requests.by_call_id)
-        else:  # its end waits in the socket, not yet read
-            caller.transport.pause_reading()
+        else:  # the end of stream is pending on the socket, not read yet
+            connection.transport.pause_reading()
             first.writer.close()
-            await until(caller.has_hung_up)
+            await until(connection.has_hung_up)
         (again := await bench.client()).send(
             call("invite", extra=b"X-Again: 1\r\n", name=b"7f02")
         )
@@ -999,7 +1002,7 @@
         release.set()
         assert (await again.receive())[0] == 200
         if not seen:
-            caller.transport.resume_reading()
+            connection.transport.resume_reading()
         await until(lambda: not bench.node.requests)
         assert not bench.node.requests.by_call_id
 
@@ -1009,14 +1012,14 @@
 # ---- new configurations ------------------------------------------------------------------------------
 
 
-def renewed(bench: Bench, port: int) -> None:
-    """The node is told that discovery is on another port."""
+def reload_with_discovery(bench: Bench, port: int) -> None:
+    """Reloads the node with discovery on another port."""
     bench.node.reload(replace(bench.node.config, discovery=("127.0.0.1", port)))
 
 
-def test_a_new_discovery_begins_with_its_whole_list_and_keeps_all_else():
-    """Failure prevented: the new address numbers versions otherwise, so its list would be dropped as old
-    or changes missed; or clients, requests and connections to servers are lost.
+def test_a_new_discovery_address_starts_with_a_full_list_and_keeps_everything_else():
+    """Failure prevented: the new address numbers versions differently, so that its list is dropped as old or
+    changes are missed; or clients, requests and connections to servers are lost.
     """
 
     async def scene():
@@ -1033,8 +1036,8 @@
         await until(lambda: len(old.requests) == 1)
         (client := await bench.client()).send(call("invite"))
         await until(lambda: len(server.requests) == 1)
-        renewed(bench, new.port)
-        old.say(99, True)  # too late: nobody listens
+        reload_with_discovery(bench, new.port)
+        old.say(99, True)  # too late: the node no longer listens to this address
         await until(lambda: old.closed == 1)
         new.say(3, True, server.entry("s0"), second.entry("s1"))
         await until(lambda: len(new.requests) == 2)
@@ -1058,17 +1061,17 @@
     play(scene)
 
 
-def test_a_new_discovery_that_fails_at_first_is_asked_for_its_whole_list_again():
-    """Failure prevented: the retry goes on from the old address's version, or takes changes for a list."""
+def test_a_new_discovery_address_that_fails_is_polled_for_its_full_list_again():
+    """Failure prevented: the retry continues from the old address's version, or takes changes for a list."""
 
     async def scene():
-        rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
+        rules = settings()["rules"] | {"ask_within": MOMENT}  # polls again soon
         bench = await Bench(server := Server(), rules=rules).start()
         await Server.start(new := Discovery())
         new.raw(b"", b"503 Busy")
         new.say(50, False, server.entry("s0", "gone"))
         new.say(3, True, server.entry("s0"))
-        renewed(bench, new.port)
+        reload_with_discovery(bench, new.port)
         await until(lambda: len(new.requests) == 4)
         assert [r.target.split("&")[0] for r in new.requests[:3]] == [
             "/v1/endpoints"
@@ -1079,17 +1082,17 @@
     play(scene)
 
 
-def test_of_two_new_discoveries_in_a_row_the_last_one_holds():
-    """Failure prevented: the first one's answer, on its way already, brings its list back."""
+def test_the_last_of_two_new_discovery_addresses_applies():
+    """Failure prevented: the first address's answer, already in transit, restores its list."""
 
     async def scene():
         bench = await Bench(old := Server()).start()
         await Server.start(new := Server())
         await Server.start(first := Discovery())
         await Server.start(last := Discovery())
-        renewed(bench, first.port)
+        reload_with_discovery(bench, first.port)
         await until(lambda: len(first.requests) == 1)
-        renewed(bench, last.port)
+        reload_with_discovery(bench, last.port)
         first.say(900, True, old.entry("s0"))
         last.say(2, True, new.entry("s1"))
         await until(lambda: len(last.requests) == 2 and first.closed == 1)
@@ -1100,8 +1103,8 @@
     play(scene)
 
 
-def test_a_new_configuration_while_the_node_ends_is_taken_on():
-    """Failure prevented: the list stands still from then on, and retries go to servers that drain."""
+def test_a_new_configuration_is_applied_during_a_drain():
+    """Failure prevented: the list is stale from then on, and retries go to servers that drain."""
 
     async def scene():
         tell = asyncio.Event()
@@ -1117,7 +1120,7 @@
         await until(lambda: len(full.requests) == 1)
         end = asyncio.create_task(bench.node.drain())
         await until(lambda: bench.node.client_listener.draining)
-        renewed(bench, discovery.port)
+        reload_with_discovery(bench, discovery.port)
         discovery.say(1, True, new.entry("s1"))
         await until(lambda: len(discovery.requests) == 2)
         tell.set()
@@ -1129,7 +1132,7 @@
     play(scene)
 
 
-def test_what_only_a_start_can_take_on_is_named(capsys):
+def test_settings_that_need_a_restart_are_logged(capsys):
     async def scene():
         bench = await Bench(Server(), Server()).start()
         config = bench.node.config
@@ -1143,16 +1146,15 @@
         )
         assert bench.node.config == replace(config, peers=peers)
         assert list(bench.node.peers.numbers) == list(peers)
-        assert (
-            len(bench.discovery.requests) <= 1
-        )  # the address is the same: its watch goes on
+        # The address is unchanged, so its poll continues.
+        assert len(bench.discovery.requests) <= 1
         assert (await bench.once(call()))[0] == 200
 
     play(scene)
 
 
-def test_sighup_reads_the_file_anew(tmp_path):
-    """Failure prevented: the signal ends the node, a bad file stops it, or the environment of its start
+def test_sighup_reloads_the_file(tmp_path):
+    """Failure prevented: the signal ends the node, an invalid file stops it, or the environment of its start
     hides the file's new address for good.
     """
 
@@ -1179,33 +1181,35 @@
             "{",
             "[]",
             json.dumps(table(second) | {"settings": {}}),
-        ):  # none can be used
+        ):  # none of them is valid
             file.write_text(text)
             process.send_signal(signal.SIGHUP)
             assert b"the old configuration stays" in await process.stderr.readline()
-        file.write_text(json.dumps(table(first)))  # as it was: the environment's holds
+        file.write_text(
+            json.dumps(table(first))
+        )  # unchanged, so the environment's address applies
         process.send_signal(signal.SIGHUP)
         assert b"%d\n" % outside.port in await process.stderr.readline()
         for discovery in (second, third):
             file.write_text(json.dumps(table(discovery)))
             process.send_signal(signal.SIGHUP)
             assert b"%d\n" % discovery.port in await process.stderr.readline()
-        outside.say(99, True)  # nobody listens there any more
+        outside.say(99, True)  # the node no longer listens to this address
         await until(lambda: len(third.requests) == 2 and outside.closed == 1)
         assert not first.requests
         assert (await client.ask(call("invite")))[
             0
-        ] == 200  # on the connection from before
+        ] == 200  # on the connection from before the reload
         process.terminate()
         assert await asyncio.wait_for(process.wait(), 20) == 0
 
     play(scene)
 
 
-# ---- probes, peers, limits ---------------------------------------------------------------------------
+# ---- health checks, peers, limits --------------------------------------------------------------------
 
 
-def test_a_probe_brings_the_load_report():
+def test_a_health_check_reports_the_load():
     async def scene():
         report = b"inflight=7,latency_ms=1.5"
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (
@@ -1213,22 +1217,22 @@
             report,
         )
         bench = await Bench(server := Server(always(answer, BUSY))).start()
-        heard = []
+        received = []
         bench.node.balancer.health_checked = lambda now, server, ok, took, values: (
-            heard.append((ok, tuple(values)))
+            received.append((ok, tuple(values)))
         )
         (number,) = bench.node.pool.endpoints
         for count in (1, 2):
             bench.node.check_health(number)
-            await until(lambda count=count: len(heard) == count)
-        assert heard == [(True, (1.5, 7.0)), (False, ())]
+            await until(lambda count=count: len(received) == count)
+        assert received == [(True, (1.5, 7.0)), (False, ())]
         assert server.requests[0].target == "/status/load"
 
     play(scene)
 
 
-def test_datagrams_come_from_peers_only():
-    """Failure prevented: stray or oversized datagrams reach the module, or end the process."""
+def test_only_datagrams_of_peers_are_accepted():
+    """Failure prevented: unexpected or oversized datagrams reach the policy, or end the process."""
 
     async def scene():
         mine, peer, stranger = (
@@ -1239,8 +1243,8 @@
         names = [f"127.0.0.1:{s.getsockname()[1]}" for s in (mine, peer)]
         config = {"peer_listen": "127.0.0.1:0", "peers": names, "peers_all": names[1]}
         bench = await Bench(Server(), config=config).start()
-        heard = []
-        bench.node.balancer.peer_message = lambda now, number, data: heard.append(
+        received = []
+        bench.node.balancer.peer_message = lambda now, number, data: received.append(
             (number, data)
         )
         assert bench.node.peers.transport is not None
@@ -1248,8 +1252,8 @@
         stranger.sendto(b"stray", address)
         peer.sendto(b"x" * 300, address)
         peer.sendto(b"hello", address)
-        await until(lambda: bool(heard))
-        assert heard == [(1, b"hello")]
+        await until(lambda: bool(received))
+        assert received == [(1, b"hello")]
         peer.settimeout(20)
         bench.node.send_to_peer(1, b"x" * 257)
         bench.node.send_to_peer(-1, b"all")
@@ -1259,8 +1263,8 @@
     play(scene)
 
 
-def test_a_flood_of_strays_does_not_hide_faults_in_the_log(capsys):
-    """Failure prevented: whoever sends garbage uses up the lines of the second, and faults go unseen."""
+def test_a_flood_of_stray_datagrams_does_not_hide_faults_in_the_log(capsys):
+    """Failure prevented: garbage uses up the log lines of each second, and faults are not logged."""
 
     async def scene():
         config = {"peer_listen": "127.0.0.1:0", "peers": []}
@@ -1288,18 +1292,19 @@
     )
 
 
-def test_clients_beyond_the_budget_are_refused_and_idle_ones_make_room():
-    """Failure prevented: more clients than descriptors end the process or stop it from taking anyone."""
+def test_clients_beyond_the_budget_are_rejected_and_idle_ones_are_evicted():
+    """Failure prevented: more clients than descriptors end the process, or stop it from accepting any."""
 
     async def scene():
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
-        bench.node.balancer.request = lambda *args: None  # all stay open
+        bench.node.balancer.request = lambda *args: None  # all requests stay open
         idle = await bench.client()
         await until(lambda: len(bench.node.client_listener.connections) == 1)
         (silent,) = bench.node.client_listener.connections
-        silent.last_active_at -= 0.3  # as if it had come so long ago and said nothing
+        silent.last_active_at -= 0.3  # as if it had been inactive since then
         most = bench.node.client_listener.capacity
-        assert most >= 4  # a small budget too is mostly for clients that are served
+        # Even in a small budget, most connections are for clients that are served.
+        assert most >= 4
         clients = []
         for _ in range(most):
             clients.append(await bench.client())
@@ -1316,7 +1321,7 @@
     play(scene)
 
 
-def test_requests_beyond_the_settings_are_refused_with_advice():
+def test_requests_beyond_the_limit_are_rejected_with_retry_after():
     async def scene():
         bench = await Bench(
             server := Server(always(None)), policy_limits={"max_open": 1}
@@ -1334,7 +1339,7 @@
     play(scene)
 
 
-def test_connects_beyond_the_budget_fail_and_idle_ones_make_room():
+def test_connects_beyond_the_budget_fail_and_idle_connections_are_closed():
     async def scene():
         bench = await Bench(first := Server(), second := Server()).start()
         bench.node.pool.max_connections = 1
@@ -1348,10 +1353,10 @@
     play(scene)
 
 
-# ---- start and end -----------------------------------------------------------------------------------
+# ---- start and drain ---------------------------------------------------------------------------------
 
 
-def test_bad_configuration_is_one_plain_line(tmp_path):
+def test_a_configuration_error_is_one_line(tmp_path):
     file = tmp_path / "config.json"
     with pytest.raises(ConfigError, match="not set"):
         load({})
@@ -1366,7 +1371,7 @@
         read(node_table(0, settings(policy_limits={"max_attempts": None})))
 
 
-def test_the_program_says_what_it_cannot_start_with(tmp_path):
+def test_the_program_prints_its_configuration_error(tmp_path):
     async def scene():
         process = await spawn(tmp_path, {"name": "n0"})
         _, errors = await process.communicate()
@@ -1377,8 +1382,8 @@
     play(scene)
 
 
-def test_sigterm_answers_what_is_open_and_ends_with_status_0(tmp_path):
-    """Failure prevented: a request that is out is lost at a planned restart, or the second signal ends it."""
+def test_sigterm_answers_open_requests_and_exits_with_status_0(tmp_path):
+    """Failure prevented: a planned restart loses an open request, or a second signal ends the process."""
 
     async def scene():
         release = asyncio.Event()
@@ -1406,7 +1411,7 @@
         client.send(call("invite"))
         await until(lambda: len(server.requests) == 1)
         process.send_signal(signal.SIGTERM)
-        assert await idle.ended()  # the signal has been heard
+        assert await idle.ended()  # the signal has been processed
         process.send_signal(signal.SIGTERM)
         release.set()
         status, headers, body = await client.receive()
@@ -1418,8 +1423,8 @@
     play(scene)
 
 
-def test_a_killed_node_starts_again_under_its_address(tmp_path):
-    """Failure prevented: what is left of the old process's connections keeps the new one from listening."""
+def test_a_killed_node_restarts_on_its_address(tmp_path):
+    """Failure prevented: connections left by the old process keep the new one from listening."""
 
     async def scene():
         await (server := Server()).start()
@@ -1439,8 +1444,8 @@
     play(scene)
 
 
-def test_a_node_that_ends_answers_all_that_it_has_taken(monkeypatch):
-    """Failure prevented: requests that come late, or that wait in the backlog, are lost at a planned restart;
+def test_a_draining_node_answers_every_accepted_request(monkeypatch):
+    """Failure prevented: requests that arrive late or wait in the backlog are lost at a planned restart, or
     an idle client is reset.
     """
 
@@ -1453,25 +1458,26 @@
 
         monkeypatch.setattr(
             "loadbalancer.node.client.listener.ACCEPT_PERIOD_S", 600.0
-        )  # until the test says so
+        )  # until the test shortens it
         monkeypatch.setattr("loadbalancer.node.client.listener.REUSE_PERIOD_S", 0.0)
         bench = await Bench(server := Server(held)).start()
-        callers = bench.node.client_listener
+        listener = bench.node.client_listener
         idle, early = await bench.client(), await bench.client()
         assert (await idle.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
         early.send(call("invite"))
         await until(lambda: len(server.requests) == 1)
         drain = asyncio.create_task(bench.node.drain())
-        assert await idle.ended()  # idle ones end while new ones are still taken
+        # Idle connections close while new ones are still accepted.
+        assert await idle.ended()
         monkeypatch.setattr("loadbalancer.node.client.listener.SETTLE_TIME_S", 600.0)
         late = await bench.client()
         late.send(call("invite"))
         await until(lambda: len(server.requests) == 2)
         with socket.create_connection(
             ("127.0.0.1", bench.port)
-        ) as waiting:  # the loop has not seen it
+        ) as waiting:  # the event loop has not accepted it yet
             waiting.settimeout(20)
-            callers.stop_listening()
+            listener.stop_listening()
             waiting.send(call("invite"))
             await until(lambda: len(server.requests) == 3)
             with pytest.raises(ConnectionRefusedError):
@@ -1482,20 +1488,20 @@
                 assert (status, body, headers["connection"]) == (200, b"ok", "close")
                 assert await client.ended()
                 client.writer.close()
-            await until(lambda: all(c.reader.ended for c in callers.connections))
+            await until(lambda: all(c.reader.ended for c in listener.connections))
             assert waiting.recv(9999).startswith(b"HTTP/1.1 200 ")
         await asyncio.wait_for(drain, 20)
 
     play(scene)
 
 
-def test_clients_keep_their_connections_for_a_while_after_sigterm(monkeypatch):
-    """Failure prevented: the node is of use to nobody long before its end, while others are not back yet."""
+def test_clients_may_reuse_their_connections_for_a_while_after_sigterm(monkeypatch):
+    """Failure prevented: the node rejects clients long before its end, while others are not back yet."""
 
     async def scene():
         monkeypatch.setattr(
             "loadbalancer.node.client.listener.REUSE_PERIOD_S", 600.0
-        )  # until the test says so
+        )  # until the test shortens it
         bench = await Bench(server := Server()).start()
         client, idle = await bench.client(), await bench.client()
         assert (await idle.ask(call()))[0] == 200
@@ -1504,7 +1510,7 @@
         status, headers, _ = await client.ask(call("invite", 15000))
         assert status == 200
         assert "connection" not in headers
-        # By then the process may be killed, whatever the client's own patience.
+        # The process may be killed after that time, whatever the client's own budget.
         assert int(server.requests[-1].headers["x-budget-ms"]) <= 3400
         assert (await client.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
         monkeypatch.setattr("loadbalancer.node.client.listener.REUSE_PERIOD_S", 0.0)
@@ -1514,11 +1520,11 @@
     play(scene)
 
 
-def test_a_planned_restart_under_load_loses_nothing(monkeypatch):
-    """Failure prevented: a client that uses its connection just as the node ends is reset or left unheard."""
+def test_a_planned_restart_under_load_loses_no_request(monkeypatch):
+    """Failure prevented: a client that uses its connection as the node drains is reset or not answered."""
 
     async def scene():
-        # Nobody here is idle, however slow the machine, and new ones are taken until the test says so.
+        # No client counts as idle, however slow the host, and new ones are accepted until the test ends it.
         monkeypatch.setattr("loadbalancer.node.client.listener.ACCEPT_PERIOD_S", 600.0)
         monkeypatch.setattr("loadbalancer.node.client.listener.REUSE_PERIOD_S", 0.0)
         monkeypatch.setattr("loadbalancer.node.client.listener.SETTLE_TIME_S", 600.0)
@@ -1531,7 +1537,7 @@
             client = await bench.client()
             while True:
                 status, headers, _ = await client.ask(call("invite"))
-                assert status in (200, 503)  # served, or refused by the module
+                assert status in (200, 503)  # served, or rejected by the policy
                 answers += 1
                 if "connection" in headers:
                     assert await client.ended()
@@ -1542,17 +1548,17 @@
                     except ConnectionRefusedError:
                         return
 
-        crowd = [asyncio.create_task(keep_asking()) for _ in range(20)]
+        clients = [asyncio.create_task(keep_asking()) for _ in range(20)]
         await until(lambda: answers > 200)
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: last > 200)
         bench.node.client_listener.stop_listening()
-        await asyncio.wait_for(asyncio.gather(*crowd, drain), 20)
+        await asyncio.wait_for(asyncio.gather(*clients, drain), 20)
 
     play(scene)
 
 
-def test_a_crowd_of_clients_keeps_the_process_within_its_descriptors(tmp_path):
+def test_a_burst_of_clients_keeps_the_process_within_its_descriptors(tmp_path):
     """Failure prevented: a process over its limit is killed, or cannot open what it needs."""
 
     async def scene():
@@ -1565,17 +1571,17 @@
         process = await spawn(tmp_path, table | {"limits": {"sockets": 56}})
         await connected(first := Client(port))
         before = len(os.listdir(f"/proc/{process.pid}/fd"))
-        crowd = []
+        clients = []
         for _ in range(150):
-            crowd.append(client := await Client(port).open())
-            # Half a request, and at once: an idle client would make room for the next, and how many are
-            # held in the end would depend on how fast they came.
+            clients.append(client := await Client(port).open())
+            # Half a request, immediately: an idle client would be evicted for the next, and the number of
+            # held connections would depend on how fast they arrive.
             client.send(b"GET /ready HTTP/1.1\r\n")
         await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= before + 8)
         for _ in range(200):
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 56
             await asyncio.sleep(0)
-        for client in (first, *crowd):
+        for client in (first, *clients):
             client.writer.close()
         while True:
             client = await Client(port).open()
@@ -1598,16 +1604,16 @@
             await until(
                 lambda: any(c.transport for c in bench.node.client_listener.connections)
             )
-            (caller,) = bench.node.client_listener.connections
-            assert is_idle(caller)
-            client.send(b"G")  # the node's loop has no turn until the next line
-            assert not is_idle(caller)
+            (connection,) = bench.node.client_listener.connections
+            assert is_idle(connection)
+            client.send(b"G")  # the node's loop does not run until the next line
+            assert not is_idle(connection)
 
     play(scene)
 
 
-def test_what_cannot_be_read_ends_its_connection_whatever_is_open_there():
-    """Failure prevented: the error waits behind a request that takes its time, and the client with it."""
+def test_unreadable_input_ends_its_connection_even_with_an_open_request():
+    """Failure prevented: the error response, and with it the client, waits behind a slow request."""
 
     async def scene():
         bench = await Bench(server := Server(always(None))).start()
@@ -1624,8 +1630,8 @@
     play(scene)
 
 
-def test_trailers_are_not_passed_on():
-    """Failure prevented: what comes behind the body is taken for headers by the next."""
+def test_trailers_are_not_forwarded():
+    """Failure prevented: lines behind the body are taken for headers by the server."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -1639,16 +1645,17 @@
     play(scene)
 
 
-def test_who_never_asks_is_closed_and_who_has_asked_may_stay():
-    """Failure prevented: hundreds that connect and say nothing hold descriptors for good."""
+def test_a_connection_without_a_request_is_closed_and_one_with_a_request_may_stay():
+    """Failure prevented: hundreds of clients that connect and send nothing hold descriptors for good."""
 
     async def scene():
         bench = await Bench(Server()).start()
         silent, asked = await bench.client(), await bench.client()
         assert (await asked.ask(call()))[0] == 200
         await until(lambda: len(bench.node.client_listener.connections) == 2)
-        for caller in bench.node.client_listener.connections:
-            caller.reader.started_at -= 2.6  # as if it were so long ago
+        for connection in bench.node.client_listener.connections:
+            # As if it had been accepted that long ago.
+            connection.reader.started_at -= 2.6
         bench.node.client_listener.close_slow()
         assert await silent.ended()
         assert (await asked.ask(call()))[0] == 200
@@ -1656,24 +1663,24 @@
     play(scene)
 
 
-def test_room_is_made_by_those_who_never_asked_and_then_by_those_who_stall():
-    """Failure prevented: silent connections, or half requests, push out clients that are served."""
+def test_connections_without_a_request_are_evicted_first_and_then_stalled_ones():
+    """Failure prevented: idle connections, or incomplete requests, displace clients that are served."""
 
     async def scene():
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
-        callers = bench.node.client_listener
-        served = [await bench.client() for _ in range(callers.capacity - 2)]
+        listener = bench.node.client_listener
+        served = [await bench.client() for _ in range(listener.capacity - 2)]
         for client in served:
             assert (await client.ask(call()))[0] == 200
         silent, stalling = await bench.client(), await bench.client()
         stalling.send(b"GET /view HTTP/1.1\r\n")
-        await until(lambda: any(c.reader.incoming for c in callers.connections))
-        for caller in callers.connections:
-            caller.last_active_at -= 1.0
+        await until(lambda: any(c.reader.incoming for c in listener.connections))
+        for connection in listener.connections:
+            connection.last_active_at -= 1.0
         (new := await bench.client()).send(call())
         assert await silent.ended()
         assert (await new.receive())[0] == 200
-        bench.node.balancer.request = lambda *args: None  # all stay open
+        bench.node.balancer.request = lambda *args: None  # all requests stay open
         for client in (*served, new):
             client.send(call("invite"))
         await until(lambda: len(bench.node.requests.by_client) == len(served) + 1)
@@ -1686,41 +1693,42 @@
     play(scene)
 
 
-def test_clients_that_are_served_reach_an_ending_node_through_a_crowd_of_half_written_requests(
+def test_served_clients_reach_a_draining_node_despite_a_burst_of_incomplete_requests(
     monkeypatch,
 ):
-    """Failure prevented: the crowd holds all places, and once the listener is closed nobody has a door."""
+    """Failure prevented: the burst occupies all connections, and the closed listener accepts no other."""
 
     async def scene():
         bench = await Bench(Server(), config={"limits": {"sockets": 72}}).start()
-        callers = bench.node.client_listener
+        listener = bench.node.client_listener
         regular = [await bench.client() for _ in range(3)]
         for client in regular * 2:
             assert (await client.ask(call()))[0] == 200
-        crowd: list[Client] = []
-        for i in range(3 * callers.capacity):
-            crowd.append(half := await bench.client())
+        clients: list[Client] = []
+        for i in range(3 * listener.capacity):
+            clients.append(half := await bench.client())
             half.send(b"GET /view HTTP/1.1\r\n")
             await until(
                 lambda: any(
                     c.last_active_at > 0
                     and c.reader.incoming
                     and not c.reader.request_count
-                    for c in callers.connections
+                    for c in listener.connections
                 )
             )
-            if i % 2:  # some ask once and stay
-                crowd.append(once := await bench.client())
+            if i % 2:  # some send one request and stay connected
+                clients.append(once := await bench.client())
                 assert (await once.ask(call()))[0] in (200, 503)
-            for caller in callers.connections:
-                caller.last_active_at -= 0.3  # as if they came so far apart
+            for connection in listener.connections:
+                # As if they had connected at these intervals.
+                connection.last_active_at -= 0.3
         monkeypatch.setattr("loadbalancer.node.client.listener.ACCEPT_PERIOD_S", 0.0)
         monkeypatch.setattr("loadbalancer.node.client.listener.REUSE_PERIOD_S", 600.0)
         drain = asyncio.create_task(bench.node.drain())
-        await until(lambda: callers.listen_socket is None)
+        await until(lambda: listener.listen_socket is None)
         for client in regular:
             assert (await client.ask(call()))[0] == 200
-        for client in crowd:
+        for client in clients:
             client.writer.close()
         monkeypatch.setattr("loadbalancer.node.client.listener.REUSE_PERIOD_S", 0.0)
         await asyncio.wait_for(drain, 20)
@@ -1728,7 +1736,7 @@
     play(scene)
 
 
-def test_a_request_that_never_comes_whole_is_given_up():
+def test_a_request_that_is_never_completed_times_out():
     """Failure prevented: clients that send half a request hold descriptors for good."""
 
     async def scene():
@@ -1740,12 +1748,13 @@
                 c.reader.incoming for c in bench.node.client_listener.connections
             )
         )
-        (caller,) = bench.node.client_listener.connections
-        for _ in range(2):  # more bytes do not start the time anew
-            seen = caller.reader.received_bytes
+        (connection,) = bench.node.client_listener.connections
+        for _ in range(2):  # further bytes do not restart the time
+            seen = connection.reader.received_bytes
             client.send(b"X-N: 1\r\n")
-            await until(lambda seen=seen: caller.reader.received_bytes > seen)
-        caller.reader.started_at -= 2.6  # as if it had come so long ago
+            await until(lambda seen=seen: connection.reader.received_bytes > seen)
+        # As if the request had started that long ago.
+        connection.reader.started_at -= 2.6
         bench.node.client_listener.close_slow()
         assert (await client.receive())[0] == 408
         assert await client.ended()
--- a/tests/test_sequences.py
+++ b/tests/test_sequences.py
@@ -1,6 +1,7 @@
-"""Drawn sequences of connects, parts of requests, ends, drains, lists and signals in any order: see `worlds`.
+"""Random sequences of connects, partial requests, disconnects, drains, lists and signals: see `worlds`.
 
-With SEQUENCES=200 in the environment, so many batches are drawn anew by each run instead of the fixed ones.
+With SEQUENCES=n in the environment, for example 200, each run generates n new batches instead of the fixed
+ones.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 import pytest
 from hypothesis import Phase, given
-from hypothesis import settings as drawing
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from worlds import CLIENTS, KLASSES, SERVERS, WINDOWS, Drawn, World, run, short_ends
 
@@ -25,7 +26,7 @@
 from loadbalancer.policy import call_tracker, retry_policy
 from loadbalancer.policy.api import Outcome
 
-BUDGETS = (60, 250, 900)  # milliseconds
+BUDGETS_MS = (60, 250, 900)
 MODES = (
     *(
         "ok",
@@ -56,7 +57,7 @@
 
 
 @pytest.fixture(autouse=True)
-def shorter(monkeypatch: pytest.MonkeyPatch) -> None:
+def shorten_periods(monkeypatch: pytest.MonkeyPatch) -> None:
     short_ends(monkeypatch)
 
 
@@ -65,12 +66,12 @@
     return tmp_path_factory.mktemp("sequences")
 
 
-# ---- what is drawn ----------------------------------------------------------------------------------------
+# ---- what is generated ------------------------------------------------------------------------------------
 
 client = st.integers(0, CLIENTS - 1)
 server = st.integers(0, SERVERS - 1)
 klass = st.sampled_from(KLASSES)
-budget = st.sampled_from(BUDGETS)
+budget = st.sampled_from(BUDGETS_MS)
 size = st.sampled_from((0, 0, 20, 100_000))
 STEPS = (
     *[st.tuples(st.just("whole"), client, klass, budget, size)] * 4,
@@ -103,83 +104,83 @@
 )
 
 
-MANY = int(os.environ.get("SEQUENCES", "0"))
+BATCHES = int(os.environ.get("SEQUENCES", "0"))
 
 
 @given(st.lists(sequence, min_size=16, max_size=16))
-@drawing(
-    max_examples=MANY or 8,
-    derandomize=not MANY,
+@hypothesis_settings(
+    max_examples=BATCHES or 8,
+    derandomize=not BATCHES,
     deadline=None,
     database=None,
     phases=[Phase.generate],
 )
-def test_drawn_sequences_break_no_rule(drawn: list[Drawn]) -> None:
-    run(drawn)
+def test_random_sequences_break_no_rule(sequences: list[Drawn]) -> None:
+    run(sequences)
 
 
 @given(st.lists(sequence, min_size=6, max_size=6))
-@drawing(
-    max_examples=max(2, MANY // 10),
-    derandomize=not MANY,
+@hypothesis_settings(
+    max_examples=max(2, BATCHES // 10),
+    derandomize=not BATCHES,
     deadline=None,
     database=None,
     phases=[Phase.generate],
 )
-def test_drawn_sequences_break_no_rule_in_a_process(
-    folder: Path, drawn: list[Drawn]
+def test_random_sequences_break_no_rule_in_a_process(
+    folder: Path, sequences: list[Drawn]
 ) -> None:
-    run(drawn, folder)
+    run(sequences, folder)
 
 
-# ---- the count finds what it is there for -----------------------------------------------------------------
+# ---- the checks find the violations that they exist for ---------------------------------------------------
 
 
-def sent_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def retry_unsafe(monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (
         call_tracker,
         retry_policy,
         forwarder,
-    ):  # each holds to it for itself
+    ):  # each module has its own copy of the set
         monkeypatch.setattr(module, "NEVER_RAN", frozenset(Outcome))
 
 
-def gone_unseen(monkeypatch: pytest.MonkeyPatch) -> None:
+def ignore_disconnects(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(RequestIntake, "request_abandoned", lambda self, caller: None)
     monkeypatch.setattr(ClientConnection, "has_hung_up", lambda self: False)
 
 
-def twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def answer_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     answer = ClientConnection.send_response
 
-    def again(self: ClientConnection, *args: Any, **named: Any) -> None:
+    def send_again(self: ClientConnection, *args: Any, **kwargs: Any) -> None:
         message = self.open_request
-        answer(self, *args, **named)
+        answer(self, *args, **kwargs)
         self.open_request = message
-        answer(self, *args, **named)
+        answer(self, *args, **kwargs)
 
-    monkeypatch.setattr(ClientConnection, "send_response", again)
+    monkeypatch.setattr(ClientConnection, "send_response", send_again)
 
 
-def never(monkeypatch: pytest.MonkeyPatch) -> None:
+def never_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        ClientConnection, "send_response", lambda self, *args, **named: None
+        ClientConnection, "send_response", lambda self, *args, **kwargs: None
     )
 
 
-def dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def abort_instead_of_answering(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         ClientConnection,
         "send_response",
-        lambda self, *args, **named: self.transport.abort(),
+        lambda self, *args, **kwargs: self.transport.abort(),
     )
 
 
-def drain_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+def ignore_drain(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(UpstreamEndpoint, "retire", lambda self: None)
 
 
-def reset_taken_for_an_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def treat_reset_as_end(monkeypatch: pytest.MonkeyPatch) -> None:
     lost = UpstreamConnection.connection_lost
 
     def ended(self: UpstreamConnection, exc: Exception | None) -> None:
@@ -189,139 +190,148 @@
     monkeypatch.setattr(UpstreamConnection, "connection_lost", ended)
 
 
-def never_released(monkeypatch: pytest.MonkeyPatch) -> None:
+def never_release(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ClientRequest, "release", lambda self, budget: None)
 
 
-def window_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def ignore_window(monkeypatch: pytest.MonkeyPatch) -> None:
     window = WINDOWS["short"]
-    monkeypatch.setitem(WINDOWS, "short", 60_000_000)  # what the node is told...
+    monkeypatch.setitem(
+        WINDOWS, "short", 60_000_000
+    )  # the window in the node's settings
     monkeypatch.setattr(
         World, "window_time", lambda self: window / 1e6
-    )  # ...and what holds
+    )  # the window that the checks apply
 
 
-PATIENT = 5000  # milliseconds: these sequences do not end by their time, however loaded the machine is
+# Milliseconds. No request of these sequences ends by its deadline, however busy the host is.
+LONG_BUDGET_MS = 5000
 ALL_RESET = ("all_modes", "reset")
-GATED = [("gate", n) for n in range(SERVERS)]
-OPENED = [("ungate", n) for n in range(SERVERS)]
+GATE_ALL = [("gate", n) for n in range(SERVERS)]
+UNGATE_ALL = [("ungate", n) for n in range(SERVERS)]
 
 
-RELEASED = [("release", n) for n in range(SERVERS)]
+RELEASE_ALL = [("release", n) for n in range(SERVERS)]
 
 
 @pytest.mark.parametrize(
     "steps",
     [
-        # Ten at once: the time of each runs from its last byte, not from its turn.
+        # Ten at once: the deadline of each runs from its last byte, not from its turn.
         [("all_modes", "hang"), ("many", 0, "view", 250)],
-        # A connection comes up when nobody waits for it any more, and the server ends it before a request.
+        # A connection is established when no attempt waits any more, and the server closes it before a
+        # request.
         [
-            *GATED,
+            *GATE_ALL,
             ("whole", 0, "view", 60),
             ("pause", 120),
             ("all_modes", "close_before"),
-            *OPENED,
+            *UNGATE_ALL,
             ("pause", 30),
         ],
-        # A repeat of a keyed call waits for its connection until the window is over.
+        # A retry of a request with a key waits for its connection until the window is over.
         [
             ("all_modes", "hold"),
             ("whole", 0, "offer", 900),
             ("pause", 30),
             ("all_modes", "reset"),
-            *GATED,
+            *GATE_ALL,
         ]
         + [("break", n) for n in range(SERVERS)]
-        + [("pause", 400), *OPENED],
-        # The node ends while ten wait on one connection, the first of which is answered at the last moment.
+        + [("pause", 400), *UNGATE_ALL],
+        # The node drains while ten requests wait on one connection; the first is answered at the last moment.
         [
             ("all_modes", "hold"),
             ("many", 0, "view", 900),
             ("pause", 30),
             ("drain",),
             ("pause", 600),
-            *RELEASED,
+            *RELEASE_ALL,
         ],
-        # A client leaves while more than the node reads ahead is owed to it.
+        # A client leaves while more responses are owed to it than the number of requests that the node
+        # queues.
         [
-            *GATED,
+            *GATE_ALL,
             ("many", 0, "view", 900),
             ("pause", 30),
             ("close", 0),
             ("pause", 400),
-            *OPENED,
+            *UNGATE_ALL,
         ],
     ],
 )
-def test_sequences_that_once_broke_a_rule_break_none(
+def test_sequences_that_once_broke_a_rule_no_longer_do(
     steps: list[tuple[Any, ...]],
 ) -> None:
     run([(push, "short", steps) for push in (True, False) for _ in range(3)])
 
 
 @pytest.mark.parametrize(
-    ("sabotage", "steps", "said"),
+    ("break_rule", "steps", "message"),
     [
         (
-            sent_again,
-            [ALL_RESET, ("whole", 0, "invite", PATIENT)],
+            retry_unsafe,
+            [ALL_RESET, ("whole", 0, "invite", LONG_BUDGET_MS)],
             "unsafe, and sent again",
         ),
         (
-            gone_unseen,
+            ignore_disconnects,
             [
-                *GATED,
-                ("whole", 0, "view", PATIENT),
+                *GATE_ALL,
+                ("whole", 0, "view", LONG_BUDGET_MS),
                 ("close", 0),
                 ("pause", 400),
-                *OPENED,
+                *UNGATE_ALL,
             ],
             "had gone",
         ),
-        (twice, [("whole", 0, "view", PATIENT)], "answer that nobody asked for"),
-        (never, [("whole", 0, "view", 60)], "no answer"),
-        (dropped, [("whole", 0, "view", 60)], "no answer"),
         (
-            drain_ignored,
+            answer_twice,
+            [("whole", 0, "view", LONG_BUDGET_MS)],
+            "answer that nobody asked for",
+        ),
+        (never_answer, [("whole", 0, "view", 60)], "no answer"),
+        (abort_instead_of_answering, [("whole", 0, "view", 60)], "no answer"),
+        (
+            ignore_drain,
             [
-                *GATED,
-                ("whole", 0, "view", PATIENT),
+                *GATE_ALL,
+                ("whole", 0, "view", LONG_BUDGET_MS),
                 *[("state", n, "draining") for n in range(SERVERS)],
                 ("pause", 600),
             ]
-            + OPENED,
+            + UNGATE_ALL,
             "told to drain",
         ),
         (
-            reset_taken_for_an_end,
-            [("all_modes", "no_length_reset"), ("whole", 0, "invite", PATIENT)],
+            treat_reset_as_end,
+            [("all_modes", "no_length_reset"), ("whole", 0, "invite", LONG_BUDGET_MS)],
             "an answer that no server made",
         ),
-        (never_released, [("whole", 0, "offer", PATIENT, 20)], "bytes are held"),
+        (never_release, [("whole", 0, "offer", LONG_BUDGET_MS, 20)], "bytes are held"),
         (
-            window_forgotten,
+            ignore_window,
             [
                 ("all_modes", "hold"),
-                ("whole", 0, "offer", PATIENT),
+                ("whole", 0, "offer", LONG_BUDGET_MS),
                 ("pause", 30),
                 ("all_modes", "reset"),
-                *GATED,
+                *GATE_ALL,
             ]
             + [("break", n) for n in range(SERVERS)]
-            + [("pause", 400), *OPENED],
+            + [("pause", 400), *UNGATE_ALL],
             "keyed, and sent again",
         ),
     ],
 )
-def test_the_count_finds_a_node_that_breaks_a_rule(
+def test_the_checks_find_a_node_that_breaks_a_rule(
     monkeypatch: pytest.MonkeyPatch,
-    sabotage: Callable[[pytest.MonkeyPatch], None],
+    break_rule: Callable[[pytest.MonkeyPatch], None],
     steps: list[tuple[Any, ...]],
-    said: str,
+    message: str,
 ) -> None:
-    """The same steps pass with the node as it is."""
+    """The same steps pass with the unmodified node."""
     run([(True, "short", steps)])
-    sabotage(monkeypatch)
-    with pytest.raises(AssertionError, match=said):
+    break_rule(monkeypatch)
+    with pytest.raises(AssertionError, match=message):
         run([(True, "short", steps)])
--- a/tests/test_server_close.py
+++ b/tests/test_server_close.py
@@ -1,4 +1,4 @@
-"""The moments in which something ends on the side of the servers: crossings forced byte by byte."""
+"""Connections, drains and responses that end on the server side, with events ordered byte by byte."""
 
 import asyncio
 import os
@@ -21,10 +21,10 @@
 )
 
 
-def far_end(server: Server) -> socket.socket:
-    """The server's end of its latest connection, for what it sends without a turn of the loop.
+def server_socket(server: Server) -> socket.socket:
+    """A duplicate of the server's latest socket, to send bytes without an iteration of the event loop.
 
-    It acknowledges late, as an end does whose answers usually carry the acknowledgement.
+    It delays acknowledgements, like a server whose responses usually carry them.
     """
     end = socket.socket(
         fileno=os.dup(server.writers[-1].get_extra_info("socket").fileno())
@@ -33,8 +33,8 @@
     return end
 
 
-async def named(request, writer):
-    """Answers with the request's id, so that a test can tell whose answer it is."""
+async def reply_with_id(request, writer):
+    """Answers with the request's id, so that a test can tell which request a response belongs to."""
     name = request.headers["x-call-id"].encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(name), name)
 
@@ -46,13 +46,13 @@
     "early", [STALE, REJECTED, b"HTTP/1.1 2"], ids=["whole", "rejected", "half"]
 )
 @pytest.mark.parametrize("klass", ["invite", "view"])
-async def test_what_a_server_says_unasked_is_nobodys_answer(
+async def test_unsolicited_bytes_are_not_used_as_a_response(
     monkeypatch, klass, early, order
 ):
-    """Failure prevented: an answer that was on its way before the request is served as the request's; or
-    it says that the request never ran, which is then sent on and runs twice.
+    """Failure prevented: a response that was in transit before the request is delivered as its response, or
+    it marks the request as never run, so that the request is forwarded again and runs twice.
     """
-    bench = await Bench(server := Server(named)).start()
+    bench = await Bench(server := Server(reply_with_id)).start()
     client = await bench.client()
     for _ in range(4):
         assert (await client.ask(call(klass)))[0] == 200
@@ -62,7 +62,7 @@
 
     def crossing(self):
         monkeypatch.setattr(UpstreamConnection, "has_unsolicited_input", check)
-        with far_end(server) as end:
+        with server_socket(server) as end:
             if late:
                 found = check(self)
                 end.send(early)
@@ -80,20 +80,18 @@
         assert (status, body) == (200, b"mine")
         assert server.connections == 2
     assert (await client.ask(call(klass, name=b"next")))[2] == b"next"
-    await until(
-        lambda: server.closed == 1
-    )  # the one with more on it than belongs there
+    await until(lambda: server.closed == 1)  # the connection with surplus bytes
 
 
-# ---- connections that come up late --------------------------------------------------------------------
+# ---- connections that are established late ------------------------------------------------------------
 
 
-class Gate:
-    """The loop as the pool sees it: connections come up when the test lets them."""
+class ConnectGate:
+    """Replaces the pool's event loop; connections are established only when the test allows it."""
 
     def __init__(self, bench: Bench) -> None:
         self.loop = bench.node.pool.loop
-        self.asked = 0
+        self.connect_count = 0
         self.open = asyncio.Event()
         self.fail: Exception | None = None
         bench.node.pool.loop = self
@@ -102,7 +100,7 @@
         return getattr(self.loop, name)
 
     async def create_connection(self, *args):
-        self.asked += 1
+        self.connect_count += 1
         await self.open.wait()
         if self.fail is not None:
             raise self.fail
@@ -113,55 +111,65 @@
     return next(e for e in bench.node.pool.endpoints.values() if e.port == server.port)
 
 
-HASTY = {"policy_limits": {"connect_timeout": MOMENT // 20}}
+SHORT_CONNECT_TIMEOUT = {"policy_limits": {"connect_timeout": MOMENT // 20}}
 
 
-@pytest.mark.parametrize("how", ["its time is up", "the client leaves"])
-async def test_a_connection_that_comes_up_late_carries_the_next_request(
-    monkeypatch, how
-):
-    """Failure prevented: where connections come up after the connect time-out, each attempt pays for one
-    that it gives up, and the next one pays again; or what was given up is written to it all the same.
+@pytest.mark.parametrize("how", ["the timeout expires", "the client leaves"])
+async def test_a_connection_established_late_carries_the_next_request(monkeypatch, how):
+    """Failure prevented: where connecting takes longer than the connect timeout, each attempt abandons its
+    connection and the next one starts again; or an abandoned request is still written to the connection.
     """
     monkeypatch.setattr(
         "loadbalancer.node.upstream.connection.MAX_CONNECT_TIME_S", 600.0
     )
     bench = await Bench(
-        server := Server(named), **(HASTY if how == "its time is up" else {})
+        server := Server(reply_with_id),
+        **(SHORT_CONNECT_TIMEOUT if how == "the timeout expires" else {}),
     ).start()
-    gate, pool = Gate(bench), bench.node.pool
+    gate, pool = ConnectGate(bench), bench.node.pool
     client = await bench.client()
     client.send(call("invite", name=b"first"))
-    if how == "its time is up":
-        assert (await client.receive())[0] == 503  # it never ran
+    if how == "the timeout expires":
+        assert (await client.receive())[0] == 503  # the request never ran
         client = await bench.client()
     else:
-        await until(lambda: gate.asked == 1)
+        await until(lambda: gate.connect_count == 1)
         client.writer.close()
         await until(lambda: not bench.node.requests)
         client = await bench.client()
-    asked = gate.asked
-    assert pool.open_count == len(pool.connecting) == min(asked, MAX_SPARE_CONNECTING)
+    connect_count = gate.connect_count
+    assert (
+        pool.open_count
+        == len(pool.connecting)
+        == min(connect_count, MAX_SPARE_CONNECTING)
+    )
     gate.open.set()
     await until(
-        lambda: len(endpoint_of(bench, server).idle) == min(asked, MAX_SPARE_CONNECTING)
+        lambda: (
+            len(endpoint_of(bench, server).idle)
+            == min(connect_count, MAX_SPARE_CONNECTING)
+        )
     )
     assert (await client.ask(call("invite", name=b"second")))[2] == b"second"
-    assert server.connections == min(asked, MAX_SPARE_CONNECTING) == pool.open_count
-    assert gate.asked == asked
+    assert (
+        server.connections
+        == min(connect_count, MAX_SPARE_CONNECTING)
+        == pool.open_count
+    )
+    assert gate.connect_count == connect_count
     assert [r.headers["x-call-id"] for r in server.requests] == ["second"]
 
 
-async def test_a_server_that_ends_a_connection_which_was_never_used_harms_nothing():
-    """Failure prevented: what only a request sets is asked for at the connection's end, and raises."""
-    bench = await Bench(server := Server(named)).start()
-    gate, pool, raised = Gate(bench), bench.node.pool, []
+async def test_closing_an_unused_connection_raises_nothing():
+    """Failure prevented: the end of the connection uses state that only a request sets, and raises."""
+    bench = await Bench(server := Server(reply_with_id)).start()
+    gate, pool, raised = ConnectGate(bench), bench.node.pool, []
     asyncio.get_running_loop().set_exception_handler(
         lambda loop, context: raised.append(context)
     )
     client = await bench.client()
     client.send(call("invite", name=b"first"))
-    await until(lambda: gate.asked == 1)
+    await until(lambda: gate.connect_count == 1)
     client.writer.close()
     await until(lambda: not bench.node.requests)
     gate.open.set()
@@ -173,36 +181,36 @@
     assert (await bench.once(call("invite", name=b"second")))[2] == b"second"
 
 
-async def test_what_waits_for_a_connection_gets_the_first_that_is_free():
-    """Failure prevented: it waits for its own, which comes up late or never, beside one that stands idle."""
+async def test_a_waiting_attempt_gets_the_first_free_connection():
+    """Failure prevented: an attempt waits for its own connection, which is late, while another is idle."""
     go = asyncio.Event()
 
-    async def when_told(request, writer):
+    async def wait_then_reply(request, writer):
         await go.wait()
-        return await named(request, writer)
+        return await reply_with_id(request, writer)
 
-    bench = await Bench(server := Server(when_told)).start()
+    bench = await Bench(server := Server(wait_then_reply)).start()
     one, two = await bench.client(), await bench.client()
     one.send(call("invite", name=b"one"))
     await until(lambda: len(server.requests) == 1)
-    gate = Gate(bench)
+    gate = ConnectGate(bench)
     two.send(call("invite", name=b"two"))
-    await until(lambda: gate.asked == 1)
+    await until(lambda: gate.connect_count == 1)
     go.set()
     assert (await one.receive())[2] == b"one"
     assert (await two.receive())[
         2
-    ] == b"two"  # while its own connection is still coming up
+    ] == b"two"  # while its own connection is still being established
     assert server.connections == 1
     assert bench.node.pool.open_count == 2
     gate.open.set()
     await until(lambda: len(endpoint_of(bench, server).idle) == 2)
 
 
-async def test_a_connection_that_cannot_be_ends_just_one_attempt():
-    """Failure prevented: an address that is none raises what nobody expects, and an upload waits for ever."""
+async def test_a_failed_connect_ends_only_one_attempt():
+    """Failure prevented: an invalid address raises an unexpected error, and an upload waits for ever."""
     bench = await Bench(server := Server()).start()
-    gate, pool = Gate(bench), bench.node.pool
+    gate, pool = ConnectGate(bench), bench.node.pool
     gate.open.set()
     gate.fail = UnicodeError("label empty or too long")
     assert (await bench.once(call("invite")))[0] == 503
@@ -215,18 +223,18 @@
     assert (await bench.once(call("invite")))[0] == 200
 
 
-async def test_what_nothing_waits_for_makes_room_for_what_is_asked(monkeypatch):
-    """Failure prevented: connections that may never come up use up the descriptors for servers."""
+async def test_an_unclaimed_connection_is_cancelled_for_a_new_attempt(monkeypatch):
+    """Failure prevented: connections that may never be established use up the connection budget."""
     monkeypatch.setattr(
         "loadbalancer.node.upstream.connection.MAX_CONNECT_TIME_S", 600.0
     )
-    bench = await Bench(server := Server(), Server(), **HASTY).start()
-    gate, pool = Gate(bench), bench.node.pool
+    bench = await Bench(server := Server(), Server(), **SHORT_CONNECT_TIMEOUT).start()
+    gate, pool = ConnectGate(bench), bench.node.pool
     assert (await bench.once(call("invite")))[0] == 503
     assert 0 < pool.open_count <= 2 * MAX_SPARE_CONNECTING
     pool.max_connections = pool.open_count
     given_up = next(iter(pool.connecting))
-    asked, outcomes = gate.asked, []
+    connect_count, outcomes = gate.connect_count, []
     Attempt(
         pool,
         endpoint_of(bench, server),
@@ -235,10 +243,10 @@
     ).start(5)
     assert pool.open_count == pool.max_connections
     assert given_up not in pool.connecting
-    await until(lambda: gate.asked == asked + 1)
+    await until(lambda: gate.connect_count == connect_count + 1)
     gate.open.set()
     await until(lambda: bool(outcomes))
-    assert outcomes == [(Outcome.NOT_SENT, None)]  # nothing was composed
+    assert outcomes == [(Outcome.NOT_SENT, None)]  # no request was encoded
     await until(lambda: not pool.connecting)
     assert pool.open_count == sum(len(e.idle) for e in pool.endpoints.values())
 
@@ -248,9 +256,9 @@
 
 @pytest.mark.parametrize("news", ["draining", "gone", "restarted", "unlisted"])
 @pytest.mark.parametrize("size", [0, 70000], ids=["small", "upload"])
-async def test_a_drain_ends_what_waits_for_a_connection_at_once(size, news):
-    """Failure prevented: a request is written to a server after its drain was told, since its connection
-    came up meanwhile; or it waits for that connection and has no time left for another server.
+async def test_a_drain_ends_attempts_that_wait_for_a_connection(size, news):
+    """Failure prevented: a request is written to a server that is known to drain, because its connection was
+    established meanwhile; or it waits for that connection and has no time left for another server.
     """
     patient = {"connect_timeout": 60 * MOMENT}
     bench = await Bench(
@@ -258,22 +266,22 @@
     ).start()
     bench.discovery.say(42, True, going.entry("s0"))
     await until(lambda: bool(bench.node.listed))
-    gate, staying = Gate(bench), await Server().start()
+    gate, staying = ConnectGate(bench), await Server().start()
     client = await bench.client()
     request = call("offer", body=b"x" * size, budget=60000)
     client.send(request[: len(request) - size // 2])
-    await until(lambda: gate.asked == 1)
+    await until(lambda: gate.connect_count == 1)
     old = endpoint_of(bench, going)
     other = staying.entry("s1")
     if news == "unlisted":
         bench.discovery.say(43, True, other)
-    elif (
-        news == "restarted"
-    ):  # at the same address: an old connection is of no use, a new one is
+    elif news == "restarted":  # at the same address: only new connections may be used
         bench.discovery.say(43, False, going.entry("s0", started_ms=5), other)
     else:
         bench.discovery.say(43, False, going.entry("s0", news), other)
-    await until(lambda: gate.asked == 2 and not old.connecting and not old.waiting)
+    await until(
+        lambda: gate.connect_count == 2 and not old.connecting and not old.waiting
+    )
     gate.open.set()
     client.send(request[len(request) - size // 2 :])
     assert (await client.receive())[0] == 200
@@ -284,8 +292,8 @@
     assert not old.idle
 
 
-async def test_a_drain_that_is_told_in_the_loops_same_turn_as_the_connection_gets_no_byte():
-    """Failure prevented: the connection is up and its request not yet written when the news is read."""
+async def test_no_byte_is_sent_to_a_server_that_drains_as_its_connection_is_established():
+    """Failure prevented: the drain is processed after the connection is established, before its request."""
     bench = await Bench(going := Server(), config={"known": None}).start()
     bench.discovery.say(42, True, going.entry("s0"))
     await until(lambda: bool(bench.node.listed))
@@ -307,24 +315,27 @@
     assert bench.node.pool.open_count == 0
 
 
-# ---- what ends, and what does not ---------------------------------------------------------------------
+# ---- ends of streams, and timeouts --------------------------------------------------------------------
 
 
-HEAD = b"HTTP/1.1 200 OK\r\n\r\n"  # neither a length nor chunks: its end is the connection's
+# Neither a length nor chunks: the end of the connection delimits the body.
+HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
 
 
 @pytest.mark.parametrize("size", [0, 100, 40000], ids=["bare", "held", "flowing"])
 @pytest.mark.parametrize("end", ["reset", "end"])
 @pytest.mark.parametrize("klass", ["invite", "view"])
-async def test_an_answer_without_a_length_is_whole_at_its_end_and_never_at_a_reset(
+async def test_a_response_without_a_length_is_complete_at_the_end_of_stream_but_not_at_a_reset(
     klass, end, size
 ):
-    """Failure prevented: what came before a reset is served as the whole answer."""
+    """Failure prevented: the bytes received before a reset are delivered as the complete response."""
 
     async def part(request, writer):
-        writer.write(HEAD + b"x" * size)
+        writer.write(HEAD_WITHOUT_LENGTH + b"x" * size)
         if size <= 100:
-            await until(lambda: held(bench) == size and headed(bench))
+            await until(
+                lambda: held_body_bytes(bench) == size and has_response_head(bench)
+            )
         else:
             await until(
                 lambda: any(
@@ -341,7 +352,7 @@
         answer = (
             await asyncio.wait_for(client.reader.read(), 20)
             if size > 100
-            else await told(client)
+            else await receive_as_bytes(client)
         )
     if end == "end":
         assert answer.startswith(b"HTTP/1.1 200 ")
@@ -350,12 +361,14 @@
     elif size <= 100:
         assert answer.startswith((b"HTTP/1.1 502 ", b"HTTP/1.1 503 "))
     else:
-        assert not answer.endswith(b"\r\n0\r\n\r\n")  # cut off: the client can tell
+        assert not answer.endswith(
+            b"\r\n0\r\n\r\n"
+        )  # truncated, so that the client notices
     if klass == "invite":
         assert len(server.requests) == 1
 
 
-def busy_ones(bench: Bench):
+def busy_connections(bench: Bench):
     return [
         r.attempt.connection
         for r in bench.node.requests.values()
@@ -363,28 +376,28 @@
     ]
 
 
-def held(bench: Bench) -> int:
-    return sum(c.response_reader.body_bytes for c in busy_ones(bench))
+def held_body_bytes(bench: Bench) -> int:
+    return sum(c.response_reader.body_bytes for c in busy_connections(bench))
 
 
-def headed(bench: Bench) -> bool:
-    return any(c.response_reader.headers_complete for c in busy_ones(bench))
+def has_response_head(bench: Bench) -> bool:
+    return any(c.response_reader.headers_complete for c in busy_connections(bench))
 
 
-async def told(client) -> bytes:
+async def receive_as_bytes(client) -> bytes:
     status, headers, body = await client.receive()
     return b"HTTP/1.1 %d \r\n\r\n%b" % (status, body)
 
 
-async def test_a_server_that_ends_its_side_and_reads_no_further_ends_the_attempt(
+async def test_a_server_that_half_closes_and_stops_reading_ends_the_attempt(
     monkeypatch,
 ):
-    """Failure prevented: the loop tells of the end once all that was written is gone, which the server does
-    not read any more, and the request waits out its time.
+    """Failure prevented: the event loop reports the end only once all bytes are written, but the server no
+    longer reads them, and the request waits until its deadline.
     """
     made = UpstreamConnection.connection_made
 
-    def small(self, transport):  # so that the kernel never takes the whole request
+    def small(self, transport):  # so that the kernel never accepts the complete request
         with socket.socket(
             fileno=os.dup(transport.get_extra_info("socket").fileno())
         ) as s:
@@ -404,19 +417,18 @@
         client = await bench.client()
         client.send(call("invite", body=b"x" * 65536, budget=60000))
         end, _ = await asyncio.get_running_loop().sock_accept(listener)
-        await until(lambda: any(c.write_paused for c in busy_ones(bench)))
+        await until(lambda: any(c.write_paused for c in busy_connections(bench)))
         listener.close()
         with end:
             end.shutdown(socket.SHUT_WR)
-            assert (await client.receive())[
-                0
-            ] == 503  # it never came whole, so it has not run
+            # The server never received the complete request, so it has not run.
+            assert (await client.receive())[0] == 503
     assert not bench.node.requests
 
 
 @pytest.mark.parametrize("size", [70000, 20000], ids=["large", "small"])
-async def test_an_answer_that_the_server_still_gives_goes_on_after_its_time(size):
-    """Failure prevented: an answer of untold length is late, is cut off for its time, and is lost."""
+async def test_a_response_that_still_arrives_is_not_cut_off_by_the_timeout(size):
+    """Failure prevented: a slow response of unknown length is cut off by the timeout, and is lost."""
     body, more = b"x" * size, asyncio.Event()
 
     async def slow(request, writer):
@@ -428,24 +440,26 @@
     bench = await Bench(Server(slow)).start()
     client = await bench.client()
     client.send(call("invite", budget=300, extra=b"Connection: close\r\n"))
-    await until(lambda: bool(busy_ones(bench)) and held(bench) >= size)
+    await until(
+        lambda: bool(busy_connections(bench)) and held_body_bytes(bench) >= size
+    )
     await asyncio.sleep(
         1.0
-    )  # its time, and the half second in which it is only late, are over
+    )  # the request's budget, and the half second in which it is only late, have passed
     more.set()
     answer = await asyncio.wait_for(client.reader.read(), 20)
     assert answer.count(b"x") == size
     assert answer.endswith(b"2\r\nok\r\n0\r\n\r\n")
 
 
-# ---- answers that come twice --------------------------------------------------------------------------
+# ---- duplicate responses ------------------------------------------------------------------------------
 
 
-async def test_a_second_answer_that_comes_late_meets_no_other_request():
-    """Failure prevented: it is served as the answer of the next request on its connection, which has come to
-    the server's machine meanwhile.
+async def test_a_late_second_response_is_not_used_for_another_request():
+    """Failure prevented: a duplicate response is delivered for the next request on its connection, which has
+    reached the server's host in the meantime.
     """
-    told_twice = asyncio.Event()
+    second_sent = asyncio.Event()
 
     def written(name):
         return any(
@@ -453,19 +467,22 @@
             for r in bench.node.requests.values()
         )
 
-    async def twice(request, writer):
-        name, answer = request.headers["x-call-id"], await named(request, writer)
+    async def reply_twice(request, writer):
+        name, answer = (
+            request.headers["x-call-id"],
+            await reply_with_id(request, writer),
+        )
         if name == "first":
-            return answer + answer  # in one piece: it is told at once
+            return answer + answer  # in one write: detected immediately
         if name == "second":
             writer.write(answer)
             await until(lambda: written(b"third"))
-            told_twice.set()
+            second_sent.set()
         elif name == "third":
-            await told_twice.wait()
+            await second_sent.wait()
         return answer
 
-    bench = await Bench(server := Server(twice)).start()
+    bench = await Bench(server := Server(reply_twice)).start()
     client = await bench.client()
     names = ["first", "second", "third", "fourth"]
     for name in names:
@@ -475,22 +492,22 @@
     assert [r.headers["x-call-id"] for r in server.requests] == names
 
 
-async def test_a_connection_rests_where_servers_send_more_than_an_answer():
-    """Failure prevented: connections are used again at once although a second answer may be on its way, or
-    each use of one costs a handshake although none ever comes.
+async def test_reuse_is_delayed_after_a_server_has_sent_surplus_bytes():
+    """Failure prevented: connections are reused immediately although a second response may be in transit, or
+    each reuse costs a handshake although no server ever sends one.
     """
-    bench = await Bench(server := Server(named)).start()
+    bench = await Bench(server := Server(reply_with_id)).start()
     pool, client = bench.node.pool, await bench.client()
     for i in range(4):
         assert (await client.ask(call(name=b"%d" % i)))[0] == 200
     (endpoint,) = pool.endpoints.values()
-    assert server.connections == 1  # nothing speaks against it
+    assert server.connections == 1  # no surplus bytes so far: the connection is reused
     server.writers[0].write(STALE)
     await until(lambda: not endpoint.idle)
     shift = pool.loop.time()
     for i in range(4):
         assert (await client.ask(call(name=b"1%d" % i)))[0] == 200
-        for idle in endpoint.idle:  # no time at all has passed since
+        for idle in endpoint.idle:  # as if no time had passed since the response
             idle.idle_since = pool.loop.time() + 1
     assert server.connections == 1 + 4
     endpoint.idle[1].idle_since = endpoint.idle[0].idle_since = shift - REUSE_DELAY_S
@@ -501,4 +518,5 @@
     for idle in endpoint.idle:
         idle.idle_since = pool.loop.time() + 1
     assert (await client.ask(call(name=b"3")))[0] == 200
-    assert server.connections == 5  # no room for another: better so than not at all
+    # The budget is used up: the connection is reused without delay.
+    assert server.connections == 5
