--- a/loadbalancer/membership/rejoin.py
+++ b/loadbalancer/membership/rejoin.py
@@ -84,9 +84,8 @@
         refute: one exchange rejoins both sides. The rate of the requests is limited.
         """
         context = self._context
-        member = context.table.members.get(
-            envelope.sender
-        )  # unknown beyond max_members
+        # The sender is unknown if the table has already reached max_members.
+        member = context.table.members.get(envelope.sender)
         if (
             member is None
             or member.state != MemberState.DEAD
--- a/loadbalancer/records/table.py
+++ b/loadbalancer/records/table.py
@@ -161,7 +161,7 @@
         return [record for record in records if record is not None]
 
     def is_stale(self, owner: OwnerState) -> bool:
-        """Whether an owner's entry has not risen for `stale_after_us`; this node itself is never stale."""
+        """Whether an owner has been silent for over `stale_after_us`; this node itself is never stale."""
         silent_us = self.now_us - owner.advanced_at_us
         return owner is not self.replicas.own and silent_us > self.stale_after_us
 
