--- a/loadbalancer/__init__.py
+++ b/loadbalancer/__init__.py
@@ -1,3 +1,3 @@
-"""loadbalancer: the decisions of a load balancer for services that call services."""
+"""A load balancer for services that call other services: its policy, its node and its test tools."""
 
 __version__ = "0.1.0"
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m loadbalancer`: the node, or a command of the command line.
+"""Entry point of `python -m loadbalancer`: runs a node or a command of the command line.
 
-Without an argument, and with `node`, it is one node: only what a node needs is imported then.
+Without arguments, or with `node`, it runs one node and imports only the packages that a node needs.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 def main() -> int:
-    """Runs the node or, with any other command, the command line.
+    """Runs a node or, with any other arguments, the command line.
 
-    The packages of the command line are not among those that a node needs.
+    The command line needs packages that are not installed with a node.
 
     Returns:
-        The exit status; 2 if packages of the command line are missing.
+        The exit status; 2 if a package of the command line is missing.
     """
     match sys.argv[1:]:
         case [] | ["node"]:
@@ -31,7 +31,7 @@
         from loadbalancer.cli.main import cli
     except ModuleNotFoundError as error:
         print(
-            f"loadbalancer: the command line needs {error.name}: pip install -r requirements-lab.txt",
+            f"loadbalancer: the command line needs {error.name}, run pip install -r requirements-lab.txt",
             file=sys.stderr,
         )
         return EXIT_USAGE
--- a/loadbalancer/config/__init__.py
+++ b/loadbalancer/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the platform's settings, the operators' file and a node's own configuration."""
+"""Configuration formats: the platform's settings object and the operators' file."""
--- a/loadbalancer/config/operator_config.py
+++ b/loadbalancer/config/operator_config.py
@@ -1,7 +1,8 @@
-"""The operators' file: what an installation wants beyond the platform's settings. All of it may be absent.
+"""The operators' configuration file: optional features beyond the platform's settings, as TOML.
 
-`deploy/operator.toml` shows every key with its default. A file is taken whole or not at all; keys that are
-not known are refused, with the path of what is wrong. Imported only where a file is named.
+Every table and the file itself are optional. `deploy/operator.toml` shows every key with its default. A file
+is applied completely or not at all; an unknown key is an error that names the key's path. A node that names
+no such file does not import this module.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 import msgspec
 from msgspec import Meta
 
-from loadbalancer.config.platform_settings import located
+from loadbalancer.config.platform_settings import locate_error
 from loadbalancer.errors import LoadBalancerError
 from loadbalancer.forecast.migration_rules import MigrationRules
 from loadbalancer.membership.settings import DEFAULT_CLUSTER, SwimSettings
@@ -34,11 +35,11 @@
 Percent = Annotated[float, Meta(ge=0, le=100)]
 Seconds = Annotated[float, Meta(gt=0, le=86_400)]
 Address = tuple[str, int]
-LARGEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class OperatorConfigError(LoadBalancerError):
-    """An operators' file that cannot be used; nothing of it is taken."""
+    """An operators' file that cannot be used; no part of it is applied."""
 
     code: ClassVar[str] = "OperationError"
     remedy: ClassVar[str] = (
@@ -47,7 +48,7 @@
 
 
 class OperatorConfigUnreadableError(OperatorConfigError):
-    """The operators' file is not there, or not for this user to read."""
+    """The operators' file does not exist, or the node's user may not read it."""
 
     code: ClassVar[str] = "OperationUnreadable"
     remedy: ClassVar[str] = (
@@ -60,52 +61,63 @@
 
     code: ClassVar[str] = "OperationMalformed"
     remedy: ClassVar[str] = (
-        "mend the operators' file at the line and column named; the form is TOML"
+        "fix the operators' file at the line and column named; its format is TOML"
     )
 
 
 class OperatorConfigUnknownKeyError(OperatorConfigError):
-    """A key or table that this version of the program does not have."""
+    """The operators' file has a key or table that this version of the program does not know."""
 
     code: ClassVar[str] = "OperationUnknownKey"
     remedy: ClassVar[str] = (
-        "correct the key's spelling, or take it out; deploy/operator.toml shows all keys"
+        "correct the key's spelling, or remove the key; deploy/operator.toml shows all keys"
     )
 
 
 class OperatorConfigValueError(OperatorConfigError):
-    """A key of the operators' file has a value of another kind, or out of its range."""
+    """A key of the operators' file has a value of the wrong type or outside its range."""
 
     code: ClassVar[str] = "OperationValue"
     remedy: ClassVar[str] = (
-        "give the key a value in the range that deploy/operator.toml shows beside it"
+        "give the key a value of the type and range described in deploy/operator.toml"
     )
 
 
 class OperatorConfigConflictError(OperatorConfigError):
-    """Two keys of the operators' file that contradict each other."""
+    """Two keys or tables of the operators' file contradict each other."""
 
     code: ClassVar[str] = "OperationConflict"
     remedy: ClassVar[str] = (
-        "change one of the keys named so that both can hold, or take one out"
+        "change one of the named keys so that they agree, or remove one of them"
     )
 
 
 class OperatorConfigAddressError(OperatorConfigError):
-    """An address of the operators' file, or of LB_MEMBERSHIP_*, that other nodes could not send to."""
+    """An address in the operators' file or in LB_MEMBERSHIP_* that other nodes cannot send to."""
 
     code: ClassVar[str] = "OperationAddress"
     remedy: ClassVar[str] = (
-        "write IP:PORT in numbers, as others reach this node; a name is not looked up"
+        "write a numeric IP:PORT at which other nodes reach this node; host names are not resolved"
     )
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One table of the file."""
+    """Base of the file's tables: unknown keys are errors."""
 
 
 class Zones(Table, frozen=True):
-    """`[zones]`: where calls go when the own zone cannot bear them. Its presence switches it on."""
+    """`[zones]`: where calls go when the node's own zone cannot take them; enabled by its presence.
+
+    Attributes:
+        near: For each zone, the zones that are tried before all others.
+        spill_limit_percent: Fraction of a zone's capacity that calls from all other zones may use together.
+        panic_below_percent: Below this fraction of healthy servers, no server is avoided.
+        panic_until_percent: Panic ends once this fraction of the servers is healthy.
+        return_s: Seconds over which a recovered zone gets its calls back; doubled with each loss.
+        calm_s: Seconds without a loss after which earlier losses are forgotten.
+        server_requests_per_s: Calls per second that one warm server can take; 0: learned from the calls that
+            servers handled without overload.
+    """
 
     near: dict[str, list[str]] = msgspec.field(default_factory=dict)
     spill_limit_percent: Percent = 25.0
@@ -115,10 +127,17 @@
     calm_s: Seconds = 120.0
     server_requests_per_s: Annotated[float, Meta(ge=0)] = 0.0
 
-    def rules(self, here: str, number: Callable[[str], int]) -> ZoneFailoverRules:
-        """The rules for a node of zone `here`, with the zones' names as numbers."""
+    def rules(
+        self, own_zone: str, zone_number: Callable[[str], int]
+    ) -> ZoneFailoverRules:
+        """Returns the failover rules of a node.
+
+        Args:
+            own_zone: Name of the node's zone.
+            zone_number: Returns the number that the node uses for a zone's name.
+        """
         return ZoneFailoverRules(
-            near=frozenset(number(name) for name in self.near.get(here, ())),
+            near=frozenset(zone_number(name) for name in self.near.get(own_zone, ())),
             spill_limit=self.spill_limit_percent / 100,
             panic_below=self.panic_below_percent / 100,
             panic_until=self.panic_until_percent / 100,
@@ -129,8 +148,19 @@
 
 
 class LocalityTable(Table, frozen=True):
-    """`[locality]`: the state of zones and regions is held in common. Its presence switches it on, where
-    `[zones]` and `[membership]` are on.
+    """`[locality]`: nodes agree on the state of each zone and region; enabled by its presence.
+
+    It requires `[zones]` and `[membership]`, whose `regions` names the zones of each region.
+
+    Attributes:
+        zone_requests_per_s: Planned capacity of each zone in calls per second; learned for other zones.
+        zone_spill_percent: Fraction of a zone's capacity that other zones may use; `spill_limit_percent` of
+            `[zones]` for zones that are not listed.
+        fails_percent: A node finds a zone failing when this fraction of its calls there is lost.
+        hold_s: Seconds for which most nodes must find a zone failing.
+        quiet_s: Seconds for which they must no longer find so before the zone returns; doubled with each
+            relapse.
+        trial_percent: Fraction of a failed zone's own calls that still go there, to detect its recovery.
     """
 
     zone_requests_per_s: dict[str, Annotated[float, Meta(gt=0)]] = msgspec.field(
@@ -143,8 +173,12 @@
     trial_percent: Annotated[float, Meta(ge=0, le=50)] = 5.0
 
     def rules(self, zones: Zones) -> AgreementRules:
-        """The thresholds and times of the agreement on zones."""
-        # Here: a node without `[locality]` does not need it.
+        """Returns the thresholds and times by which nodes agree on a zone's state.
+
+        Args:
+            zones: The `[zones]` table, which has the times of a zone's return.
+        """
+        # Imported here because a node without `[locality]` does not need the module.
         from loadbalancer.locality.rules import RETURN_LEVELS, AgreementRules
 
         return AgreementRules(
@@ -157,24 +191,47 @@
 
 
 class Storms(Table, frozen=True):
-    """`[storms]`: who is let in while clients return at once. Its presence switches it on."""
+    """`[storms]`: admission while many clients return at once; enabled by its presence.
+
+    Attributes:
+        repeat_share_percent: Fraction of the served requests that may be repeated requests.
+        by_worth: Admit new requests of higher priority weight first; if false, only repeated requests are
+            held back.
+    """
 
     repeat_share_percent: Percent = 20.0
     by_worth: bool = True
 
     def rules(self) -> RetryStormRules:
+        """Returns the rules of the retry storm policy."""
         return RetryStormRules(
             repeat_share=self.repeat_share_percent / 100, by_priority=self.by_worth
         )
 
 
 class Membership(Table, frozen=True):
-    """`[membership]`: nodes that know of each other. Its presence switches it on, where the platform lets
-    nodes talk to each other (`policy_limits.peers`).
+    """`[membership]`: nodes detect which other nodes are alive; enabled by its presence.
+
+    It is off where the platform forbids messages between nodes (`policy_limits.peers` is false).
+
+    Attributes:
+        listen: UDP address, IP:PORT; LB_MEMBERSHIP_LISTEN overrides it.
+        advertise: Address at which other nodes reach this one; empty: `listen`. LB_MEMBERSHIP_ADVERTISE
+            overrides it.
+        seeds: Addresses of a few nodes that a starting node asks for all others.
+        cluster: Name of the cluster; messages of nodes with another name are dropped.
+        regions: The zones of each region.
+        probe_ms: Milliseconds between two probes that a node sends.
+        probe_timeout_ms: Milliseconds without an answer after which other nodes are asked to probe.
+        bear_pause_s: A node that pauses for fewer seconds than this is not declared dead.
+        relays: Number of nodes that are asked to probe on behalf of this one.
+        sync_s: Seconds between two full exchanges with one other node in a fleet of up to 64; longer in a
+            larger one.
+        dead_keep_s: Seconds for which dead members are remembered.
     """
 
     listen: str = "127.0.0.1:7946"
-    advertise: str = ""  # where others reach this node, if not where it listens
+    advertise: str = ""
     seeds: list[str] = msgspec.field(default_factory=list)
     cluster: Annotated[str, Meta(min_length=1, max_length=64)] = DEFAULT_CLUSTER
     regions: dict[str, list[str]] = msgspec.field(default_factory=dict)
@@ -186,7 +243,7 @@
     dead_keep_s: Seconds = 300.0
 
     def settings(self) -> SwimSettings:
-        """The decider's settings."""
+        """Returns the settings of the membership protocol, with times in microseconds."""
         return SwimSettings(
             cluster=self.cluster,
             probe_interval_us=int(self.probe_ms * 1000),
@@ -198,33 +255,49 @@
         )
 
     def region(self, zone: str) -> str:
-        """The region that a zone lies in; none if the file does not say."""
+        """Returns the name of the region that contains a zone; empty if the file names none."""
         return next(
             (region for region, zones in self.regions.items() if zone in zones), ""
         )
 
     def addresses(self) -> tuple[Address, Address, tuple[Address, ...]]:
-        """Where it listens, what others are told (port 0: the one that is bound), and the seeds."""
-        listen = address(self.listen, "membership.listen")
-        told = (
-            address(self.advertise, "membership.advertise")
+        """Returns the listening address, the advertised address and the seeds.
+
+        A port of 0 in the advertised address stands for the port that is bound.
+
+        Raises:
+            OperatorConfigAddressError: An address is malformed, or the advertised one is a wildcard.
+        """
+        listen = parse_address(self.listen, "membership.listen")
+        advertised = (
+            parse_address(self.advertise, "membership.advertise")
             if self.advertise
             else listen
         )
-        if told[0] in ("0.0.0.0", "::"):
+        if advertised[0] in ("0.0.0.0", "::"):
             raise OperatorConfigAddressError(
-                f"others cannot reach {told[0]}; say this node's address",
+                f"other nodes cannot reach the wildcard address {advertised[0]};"
+                " set an address of this node that they can reach",
                 "membership.advertise",
             )
         seeds = tuple(
-            address(s, f"membership.seeds[{i}]") for i, s in enumerate(self.seeds)
+            parse_address(seed, f"membership.seeds[{i}]")
+            for i, seed in enumerate(self.seeds)
         )
-        return listen, told, seeds
+        return listen, advertised, seeds
 
 
 class CellsTable(Table, frozen=True):
-    """`[cells]`: records go round and are judged within cells of the fleet (docs/cells.md). Its presence
-    switches it on, where `[membership]` is on. All nodes must have the same.
+    """`[cells]`: records are spread and evaluated within cells of the fleet; enabled by its presence.
+
+    This keeps their cost from growing with the fleet (docs/cells.md). It requires `[membership]`, and all
+    nodes must have the same table.
+
+    Attributes:
+        count: Number of cells; there is no default.
+        label: "-": a cell holds complete services, by the node's name up to its last "-". Empty: a cell is a
+            sample of all nodes.
+        collectors: Names of the nodes that sum up the reports of all cells; empty: cells report to no node.
     """
 
     count: Annotated[int, Meta(ge=1, le=4_096)]
@@ -234,49 +307,68 @@
     ] = []
 
     def layout(self) -> Layout:
-        """Which member belongs to which cell."""
-        from loadbalancer.cells.layout import (
-            Layout,
-        )  # a node without it does not need it
+        """Returns the assignment of members to cells."""
+        # Imported here because a node without `[cells]` does not need the module.
+        from loadbalancer.cells.layout import Layout
 
         return Layout(self.count, self.label)
 
 
 class SpreadTable(Table, frozen=True):
-    """`[spread]`: servers are shared out among the members that live. Its presence switches it on, where
-    `[membership]` is on.
+    """`[spread]`: servers are distributed among the live members; enabled by its presence.
+
+    It requires `[membership]`, with one cluster for each tier.
+
+    Attributes:
+        hold_s: Seconds for which the members must be unchanged before ring positions move.
+        apart_s: Each node waits up to this many further seconds, so that not all nodes move at once.
+        weights: Members report their request rates and choose servers so that all servers get the same load.
     """
 
     hold_s: Seconds = 2.0
     apart_s: Annotated[float, Meta(ge=0, le=600)] = 3.0
-    # Members tell their rates, and draw servers so that all get the same
     weights: bool = False
 
     def rules(self) -> SpreadRules:
+        """Returns the rules for ring positions, with times in microseconds."""
         return SpreadRules(
             hold_us=int(self.hold_s * 1e6), stagger_us=int(self.apart_s * 1e6)
         )
 
 
 class StoreTable(Table, frozen=True):
-    """`[store]`: where parts keep state across restarts. Without it they have it in memory."""
+    """`[store]`: where features keep state across restarts; without the table they keep it in memory.
+
+    Attributes:
+        kind: "memory", "directory" (files) or "sqlite".
+        path: Folder in which each node has a folder of its own; empty: under $TMPDIR, which does not survive
+            a restart of the machine. LB_STORE_PATH overrides it.
+        most_mb: Size limit in MiB; a full store refuses to grow and keeps what it holds.
+        lasting: Whether the path survives a restart of the machine; None: true if a path is given. If false,
+            the path is empty after a restart, as $TMPDIR is.
+    """
 
     kind: Kind = "memory"
-    path: str = ""  # a folder in which each node has its own; empty: under $TMPDIR, which does not last
+    path: str = ""
     most_mb: Annotated[float, Meta(ge=0.0625, le=4096)] = 16.0
-    # False: the path is empty after a restart, as $TMPDIR is
     lasting: bool | None = None
 
-    def wish(self) -> StoreConfig:
-        """What a node opens; an OperatorConfigError for a store that cannot last as it should."""
+    def store_config(self) -> StoreConfig:
+        """Returns the store that a node opens.
+
+        Raises:
+            OperatorConfigConflictError: A durable store has no durable place, or one in memory
+                has a path.
+        """
         if self.lasting and (self.kind == "memory" or not self.path):
             raise OperatorConfigConflictError(
-                "memory and $TMPDIR do not last; give a kind and a path, or leave it out",
+                "a store in memory or under $TMPDIR does not survive a restart; set store.kind and store.path"
+                ", or leave out store.lasting",
                 "store.lasting",
             )
         if self.kind == "memory" and self.path:
             raise OperatorConfigConflictError(
-                'kind "memory" has no path; say another kind, or leave it out',
+                'a store of kind "memory" has no path; set another store.kind, or leave out store.path',
                 "store.path",
             )
         lasting = bool(self.path) if self.lasting is None else self.lasting
@@ -284,8 +376,25 @@
 
 
 class AuditTable(Table, frozen=True):
-    """`[audit]`: which node acts on which version. Its presence switches it on; without `[membership]` the
-    node keeps its own ledger and knows nothing of the others.
+    """`[audit]`: records which node acts on which version; enabled by its presence.
+
+    It also brings outdated nodes up to date (docs/audit.md). Without `[membership]` the node keeps its own
+    ledger and has no information about other nodes.
+
+    Attributes:
+        numbering: Name of the discovery service whose version numbers the agents report, where each node has
+            its own agent; empty: the agent's address. It has to change when discovery moves.
+        agents: Addresses of further agents that an outdated node asks.
+        from_peers: Whether an outdated node then accepts from its peers the version that a quorum holds.
+        flush_s: Seconds between two writes of the ledger; a kill loses no more than these.
+        lag_s: A node that is behind the quorum's version for this many seconds is a straggler.
+        silence_s: Seconds of silence for which a node waits for its own discovery agent.
+        hold_s: A straggler counts as current after it has held the frontier for this many seconds.
+        out_after_s: A node that remediation has not helped may be quarantined after this many seconds behind.
+        out_share_percent: Largest fraction of the known nodes in quarantine at a time; 0: quarantine is off.
+        in_after_s: A quarantined node rejoins after it has held the frontier for this many seconds.
+        ready_least: No node is quarantined if fewer ready nodes than this number would be left.
+        ready_share_percent: The same limit as a fraction of the live nodes.
     """
 
     numbering: str = ""
@@ -301,16 +410,40 @@
     ready_least: Annotated[int, Meta(ge=1)] = 1
     ready_share_percent: Percent = 50.0
 
-    def others(self) -> tuple[Address, ...]:
-        """The agents that a straggler asks beside its own."""
+    def agent_addresses(self) -> tuple[Address, ...]:
+        """Returns the addresses of the agents that a straggler asks besides its own.
+
+        Raises:
+            OperatorConfigAddressError: An address is malformed.
+        """
         return tuple(
-            address(a, f"audit.agents[{i}]") for i, a in enumerate(self.agents)
+            parse_address(agent, f"audit.agents[{i}]")
+            for i, agent in enumerate(self.agents)
         )
 
 
 class FreezeTable(Table, frozen=True):
-    """`[freeze]`: who may change what during an incident (docs/freeze.md). Its presence switches it on, where
-    `[membership]` is on. All nodes must have the same.
+    """`[freeze]`: an elected coordinator grants changes, and stops them during an incident (docs/freeze.md).
+
+    It is enabled by its presence and requires `[membership]`; all nodes must have the same table.
+
+    Attributes:
+        electors: Names of the 3, 5 or 7 nodes that elect the coordinator; a majority of them has to run.
+        lease_s: Length of a lease in seconds; a lost coordinator is replaced after about this time.
+        drift_percent: Two clocks may run apart by up to twice this rate.
+        begin_s: A change has to begin within this many seconds of its request, or be requested again; at most
+            one lease.
+        most_life_s: Longest duration of a grant in seconds.
+        keep_incidents_s: Seconds for which an incident stays in force at a node that receives nothing from a
+            coordinator.
+        alone_s: By kind of change, the seconds without a coordinator after which it proceeds without a grant.
+        never_alone: Kinds of change that never proceed without a grant.
+        evidence: Whether reports of most nodes open incidents.
+        zone_fails_percent: Fraction of a zone's servers that must be reported as failing.
+        refused_percent: Fraction of attempts that servers must reject.
+        evidence_hold_s: Seconds for which the evidence has to last before an incident is opened.
+        evidence_quiet_s: Seconds without the evidence after which the incident is closed.
+        evidence_severity: Severity of such an incident, 1 to 3.
     """
 
     electors: list[Annotated[str, Meta(min_length=1, max_length=64)]]
@@ -329,8 +462,16 @@
     evidence_severity: Annotated[int, Meta(ge=1, le=3)] = 2
 
     def rules(self, regions: Mapping[str, str]) -> FreezeRules:
-        """What the deciders go by; `regions` has each zone's."""
-        # Here: a node without such a wish does not need the deciders.
+        """Returns the rules of electors, coordinator and clients.
+
+        Args:
+            regions: The region of each zone.
+
+        Raises:
+            OperatorConfigValueError: The electors, a kind of change or a time is invalid.
+            OperatorConfigConflictError: `begin_s` is longer than `lease_s`.
+        """
+        # Imported here because a node without `[freeze]` does not need the module.
         from loadbalancer.freeze.rules import (
             DEFAULT_NO_COORDINATOR_RULES,
             ClientRules,
@@ -343,50 +484,61 @@
             self.electors
         ):
             raise OperatorConfigValueError(
-                "names 3, 5 or 7 nodes, each once", "freeze.electors"
+                "the list must name 3, 5 or 7 different nodes", "freeze.electors"
             )
         if self.begin_s > self.lease_s:
             raise OperatorConfigConflictError(
-                "is longer than lease_s; a grant begins within a lease",
+                "the time must not exceed freeze.lease_s: a granted change has to begin within one lease",
                 "freeze.begin_s",
             )
-        us = 1_000_000
-        names = tuple(self.electors)
-        alone = dict(DEFAULT_NO_COORDINATOR_RULES)
+        us_per_s = 1_000_000
+        electors = tuple(self.electors)
+        no_coordinator = dict(DEFAULT_NO_COORDINATOR_RULES)
         for key, kinds in (
             ("alone_s", self.alone_s),
             ("never_alone", self.never_alone),
         ):
             for kind in kinds:
-                if kind not in alone:
+                if kind not in no_coordinator:
                     raise OperatorConfigValueError(
-                        f"one of {', '.join(alone)}", f"freeze.{key}.{kind}"
+                        f"unknown kind of change; known are {', '.join(no_coordinator)}",
+                        f"freeze.{key}.{kind}",
                     )
-                # TOML has nan and inf, which no whole number of microseconds is.
-                if key == "alone_s" and not 1 / us <= self.alone_s[kind] <= 86_400:
+                # TOML allows nan and inf, which cannot be converted to whole microseconds.
+                if (
+                    key == "alone_s"
+                    and not 1 / us_per_s <= self.alone_s[kind] <= 86_400
+                ):
                     raise OperatorConfigValueError(
-                        "seconds, above 0 and up to 86400", f"freeze.alone_s.{kind}"
+                        "the time in seconds must be above 0 and at most 86400",
+                        f"freeze.alone_s.{kind}",
                     )
-                most = int(self.alone_s[kind] * us) if key == "alone_s" else None
-                alone[kind] = replace(alone[kind], proceed_after_silence_us=most)
-        shared = CoordinatorRules(
-            begin_within_us=int(self.begin_s * us),
-            max_duration_us=int(self.most_life_s * us),
+                silence_us = (
+                    int(self.alone_s[kind] * us_per_s) if key == "alone_s" else None
+                )
+                no_coordinator[kind] = replace(
+                    no_coordinator[kind], proceed_after_silence_us=silence_us
+                )
+        coordinator_rules = CoordinatorRules(
+            begin_within_us=int(self.begin_s * us_per_s),
+            max_duration_us=int(self.most_life_s * us_per_s),
         )
         drift = self.drift_percent / 100
-        client = ClientRules(
-            names,
-            shared,
+        client_rules = ClientRules(
+            electors,
+            coordinator_rules,
             drift,
-            incident_lifetime_us=int(self.keep_incidents_s * us),
-            no_coordinator=alone,
+            incident_lifetime_us=int(self.keep_incidents_s * us_per_s),
+            no_coordinator=no_coordinator,
         )
         return FreezeRules(
-            ElectionRules(names, int(self.lease_s * us), drift), client, regions
+            ElectionRules(electors, int(self.lease_s * us_per_s), drift),
+            client_rules,
+            regions,
         )
 
     def evidence_rules(self) -> EvidenceRules:
-        """When what nodes report makes an incident."""
+        """Returns the rules by which reports of nodes open an incident, with times in microseconds."""
         from loadbalancer.freeze.evidence import EvidenceRules
 
         return EvidenceRules(
@@ -399,8 +551,13 @@
 
 
 class ShardsTable(Table, frozen=True):
-    """`[shards]`: requests for a key go to its homes first. Its presence switches it on.
-    `keys` says by class which part of a request is its key: `path 2` or `header x-item`.
+    """`[shards]`: requests for a key go first to the servers that hold its shard; enabled by its presence.
+
+    Attributes:
+        count: Number of shards that keys are distributed over; the same in all nodes.
+        homes: Number of servers in a node's subset that hold a shard.
+        members: Smallest size of a node's subset, as far as there are enough servers.
+        keys: By class, the part of a request that is its key: `path 2` or `header x-item`.
     """
 
     count: Annotated[int, Meta(ge=1, le=16_384)] = 1_024
@@ -408,36 +565,65 @@
     members: Annotated[int, Meta(ge=1, le=128)] = 16
     keys: dict[str, str] = msgspec.field(default_factory=dict)
 
-    def places(self) -> dict[str, tuple[int, bytes]]:
-        """By class the part of the path, from 1 on, or 0 and the header's name in lower case."""
-        found = {}
+    def key_locations(self) -> dict[str, tuple[int, bytes]]:
+        """Returns where the key of each class stands in a request.
+
+        Returns:
+            By class, the number of the path segment, counted from 1, and an empty name; or 0 and the header's
+            name in lower case.
+
+        Raises:
+            OperatorConfigValueError: A value of `keys` is neither a path segment nor a header.
+        """
+        locations = {}
         for name, text in self.keys.items():
-            kind, _, which = text.strip().partition(" ")
-            which = which.strip()
+            kind, _, selector = text.strip().partition(" ")
+            selector = selector.strip()
             if (
                 kind == "path"
-                and which.isascii()
-                and which.isdigit()
-                and 0 < int(which) < 100
+                and selector.isascii()
+                and selector.isdigit()
+                and 0 < int(selector) < 100
             ):
-                found[name] = int(which), b""
+                locations[name] = int(selector), b""
             elif (
                 kind == "header"
-                and which.isascii()
-                and which.replace("-", "").isalnum()
+                and selector.isascii()
+                and selector.replace("-", "").isalnum()
             ):
-                found[name] = 0, which.lower().encode()
+                locations[name] = 0, selector.lower().encode()
             else:
                 raise OperatorConfigValueError(
-                    f"{text!r} names no part of a request; write `path 2` or `header x-item`",
+                    f"{text!r} is not the location of a key;"
+                    " write `path N` with N from 1 to 99, or `header NAME`",
                     f"shards.keys.{name}",
                 )
-        return found
+        return locations
 
 
 class ForecastTable(Table, frozen=True):
-    """`[forecast]`: what a change of placement does to cache hits. Its presence switches it on, where
-    `[shards]` is on; `decide` lets it hold changes up.
+    """`[forecast]`: predicts how a change of placement affects cache hits; enabled by its presence.
+
+    It requires `[shards]`. Nodes exchange their samples where `[membership]` is on (docs/forecast.md).
+
+    Attributes:
+        hit_header: Response header by which servers report cache hits; empty: they do not report them.
+        hit_value: Value of that header for a hit, or the beginning of it.
+        entries: Objects that a server's cache holds; 0: derived from the reported hits.
+        ttl_s: Seconds after which a cached object is fetched again; 0: never.
+        cacheable_percent: Fraction of the responses that may be cached.
+        server_misses_per_s: Misses per second that a server can take; 0: learned from the concurrency limit
+            and the duration of misses.
+        window_s: Seconds over which keys are counted; the previous window of the same length counts as well.
+        records: Number of records of 1,000 bytes in which a node publishes its sample; one has the top keys.
+        decide: Whether changes of placement are made in steps or deferred by the rules below.
+        misses_percent: Misses that a change may cause, relative to what a server can take.
+        most_steps: Largest number of steps of a change.
+        pause_s: Shortest pause between two steps in seconds; it lasts until caches have recovered.
+        longest_pause_s: Longest pause between two steps in seconds.
+        again_s: Seconds after which a deferred change is evaluated again.
+        longest_wait_s: Seconds after which a deferred change is made in the largest number of steps,
+            whatever the forecast.
     """
 
     hit_header: str = ""
@@ -457,7 +643,7 @@
     longest_wait_s: Annotated[float, Meta(ge=0, le=86_400)] = 300.0
 
     def rules(self) -> MigrationRules:
-        """How changes are made."""
+        """Returns the rules by which changes of placement are made or deferred, with times in seconds."""
         return MigrationRules(
             max_load=self.misses_percent / 100,
             max_steps=self.most_steps,
@@ -469,7 +655,7 @@
 
 
 class OperatorConfig(Table, frozen=True):
-    """The whole file."""
+    """The complete operators' file; a table that is absent is None and its feature is off."""
 
     zones: Zones | None = None
     locality: LocalityTable | None = None
@@ -498,18 +684,22 @@
     "shards": ShardsTable,
     "forecast": ForecastTable,
 }
-# Keys that a variable LB_TABLE_KEY of the environment overrides, by table.
+# By table, the keys that an environment variable LB_<TABLE>_<KEY> overrides.
 OVERRIDABLE_KEYS = {"membership": ("listen", "advertise"), "store": ("path",)}
 
 
 def load(path: str, environ: Mapping[str, str] | None = None) -> OperatorConfig:
-    """Reads an operator configuration file.
+    """Reads an operators' file.
 
-    One file serves many nodes of a machine: `LB_MEMBERSHIP_LISTEN`, `LB_MEMBERSHIP_ADVERTISE` and
-    `LB_STORE_PATH` of `environ` override what it says.
+    Several nodes of a machine can share one file: `LB_MEMBERSHIP_LISTEN`, `LB_MEMBERSHIP_ADVERTISE` and
+    `LB_STORE_PATH` override its values.
+
+    Args:
+        path: Path of the file.
+        environ: The environment; None: nothing is overridden.
 
     Raises:
-        OperatorConfigError: The file cannot be used; names the file and the key.
+        OperatorConfigError: The file cannot be used; the error names the file and the key.
     """
     try:
         with open(path, "rb") as file:
@@ -529,14 +719,14 @@
 
 
 def build(table: dict[str, Any], where: str) -> OperatorConfig:
-    """Checks decoded TOML and makes an operator configuration of it.
+    """Validates decoded TOML and converts it to an operator configuration.
 
     Args:
-        table: The whole file.
-        where: The file's name, for errors.
+        table: The complete file.
+        where: The file's name, for error messages.
 
     Raises:
-        OperatorConfigError: A key is unknown or has an impossible value, or two keys contradict.
+        OperatorConfigError: A key is unknown or has an invalid value, or two keys contradict each other.
     """
     check_keys(table, OperatorConfig, where, "")
     for name, form in TABLES.items():
@@ -545,7 +735,7 @@
     try:
         config = msgspec.convert(table, OperatorConfig)
     except msgspec.ValidationError as error:
-        key, what = located(error)
+        key, what = locate_error(error)
         raise OperatorConfigValueError(what, key).within(where) from None
     try:
         for check in CHECKS:
@@ -556,9 +746,16 @@
 
 
 def check_keys(table: dict[str, Any], form: type[Table], where: str, path: str) -> None:
-    """Raises an OperatorConfigUnknownKeyError for the first key that the form lacks.
+    """Checks that a table has only known keys.
+
+    Args:
+        table: The decoded table.
+        form: The type that declares the known keys.
+        where: The file's name, for error messages.
+        path: The table's path with a final period; empty for the file itself.
 
-    It names the nearest key that the form has.
+    Raises:
+        OperatorConfigUnknownKeyError: A key is unknown; the error suggests the most similar known key.
     """
     for key in table:
         if key not in form.__struct_fields__:
@@ -574,110 +771,158 @@
 
 
 def check_membership(config: OperatorConfig) -> None:
-    """Raises an OperatorConfigError for what the form of a key of `[membership]` cannot say."""
+    """Checks the rules of `[membership]` that involve several keys.
+
+    Raises:
+        OperatorConfigError: A rule is broken, or `[spread]` stands without `[membership]`.
+    """
     membership = config.membership
     if membership is None:
         if config.spread is not None:
             raise OperatorConfigConflictError(
-                "goes by the members that live; [membership] is missing", "spread"
+                "[spread] distributes servers among the members, but [membership] is missing",
+                "spread",
             )
         return
     membership.addresses()
     if membership.probe_timeout_ms >= membership.probe_ms:
         raise OperatorConfigConflictError(
             f"{membership.probe_timeout_ms:g} is not below probe_ms ({membership.probe_ms:g});"
-            " others are asked between the two",
+            " other nodes are asked to probe between the two times",
             "membership.probe_timeout_ms",
         )
     zones = [zone for zones in membership.regions.values() for zone in zones]
-    twice = next((zone for zone in zones if zones.count(zone) > 1), None)
-    if twice is not None:
+    duplicate = next((zone for zone in zones if zones.count(zone) > 1), None)
+    if duplicate is not None:
         raise OperatorConfigConflictError(
-            f"zone {twice} stands twice; it lies in one region", "membership.regions"
+            f"zone {duplicate} is listed more than once; a zone belongs to one region",
+            "membership.regions",
         )
 
 
 def check_cells(config: OperatorConfig) -> None:
-    """Raises an OperatorConfigError where there can be no cells."""
+    """Checks that `[cells]` has the tables and values it requires.
+
+    Raises:
+        OperatorConfigError: `[membership]` is missing, a collector is listed twice, or `spread.weights` is
+            true.
+    """
     if config.cells is None:
         return
     if config.membership is None:
         raise OperatorConfigConflictError(
-            "parts the members; [membership] is missing", "cells"
+            "[cells] divides the members into cells, but [membership] is missing",
+            "cells",
         )
     collectors = config.cells.collectors
     if len(set(collectors)) < len(collectors):
-        raise OperatorConfigValueError("names a node twice", "cells.collectors")
+        raise OperatorConfigValueError(
+            "the list names a node twice; each collector is named once",
+            "cells.collectors",
+        )
     if config.spread is not None and config.spread.weights:
         raise OperatorConfigConflictError(
-            "needs the rates of all members, of which [cells] lets only the own cell's come; set it to false"
-            " or take [cells] out",
+            "weights require the rates of all members, but with [cells] a node receives only those of its own"
+            " cell; set spread.weights to false or remove [cells]",
             "spread.weights",
         )
 
 
 def check_store(config: OperatorConfig) -> None:
-    """Raises an OperatorConfigError for a store that cannot last as it should."""
+    """Checks `[store]`.
+
+    Raises:
+        OperatorConfigConflictError: Its keys contradict each other (`StoreTable.store_config`).
+    """
     if config.store is not None:
-        config.store.wish()
+        config.store.store_config()
 
 
 def check_audit(config: OperatorConfig) -> None:
-    """Raises an OperatorConfigError for an agent's address that is none."""
+    """Checks the addresses of `[audit]`.
+
+    Raises:
+        OperatorConfigAddressError: An agent's address is malformed.
+    """
     if config.audit is not None:
-        config.audit.others()
+        config.audit.agent_addresses()
 
 
 def check_freeze(config: OperatorConfig) -> None:
-    """Raises an OperatorConfigError where there can be no change freeze."""
+    """Checks `[freeze]`.
+
+    Raises:
+        OperatorConfigError: `[membership]` is missing, or a value is invalid (`FreezeTable.rules`).
+    """
     if config.freeze is None:
         return
     if config.membership is None:
         raise OperatorConfigConflictError(
-            "goes by the members; [membership] is missing", "freeze"
+            "[freeze] requires the list of members, but [membership] is missing",
+            "freeze",
         )
     config.freeze.rules({})
 
 
 def check_shards(config: OperatorConfig) -> None:
-    """Raises an OperatorConfigError for keys of shards that are none, or a forecast without shards."""
+    """Checks `[shards]` and that `[forecast]` does not stand without it.
+
+    Raises:
+        OperatorConfigError: The location of a key is invalid, or `[shards]` is missing.
+    """
     if config.shards is not None:
-        config.shards.places()
+        config.shards.key_locations()
     elif config.forecast is not None:
         raise OperatorConfigConflictError(
-            "tells of shards; [shards] is missing", "forecast"
+            "[forecast] predicts the cache hits of shards, but [shards] is missing",
+            "forecast",
         )
 
 
 def check_zones(config: OperatorConfig) -> None:
-    """Raises an OperatorConfigError for bounds that contradict, or a zone near to itself."""
+    """Checks the rules of `[zones]` that involve several values.
+
+    Raises:
+        OperatorConfigError: The bounds of panic contradict each other, or a list of near zones names the zone
+            itself or another one twice.
+    """
     zones = config.zones
     if zones is None:
         return
     if zones.panic_until_percent < zones.panic_below_percent:
         raise OperatorConfigConflictError(
             f"{zones.panic_until_percent:g} is below panic_below_percent"
-            f" ({zones.panic_below_percent:g}); panic ends no lower than it begins",
+            f" ({zones.panic_below_percent:g}); panic must not end at a lower percentage than it begins",
             "zones.panic_until_percent",
         )
     for zone, near in zones.near.items():
         if zone in near:
             raise OperatorConfigValueError(
-                "names itself; leave it out, it comes first", f"zones.near.{zone}"
+                "the list names the zone itself; leave it out, since a node's own zone always comes first",
+                f"zones.near.{zone}",
             )
         if len(set(near)) < len(near):
-            raise OperatorConfigValueError("names a zone twice", f"zones.near.{zone}")
+            raise OperatorConfigValueError(
+                "the list names a zone twice; each zone is named once",
+                f"zones.near.{zone}",
+            )
 
 
 def check_locality(config: OperatorConfig) -> None:
-    """Raises an OperatorConfigError where zones, their regions and their capacities contradict."""
+    """Checks `[locality]` against the zones and their regions.
+
+    Raises:
+        OperatorConfigConflictError: A required table is missing, a zone belongs to no region, or a near zone
+            belongs to another region.
+    """
     locality = config.locality
     if locality is None:
         return
     if config.membership is None or config.zones is None:
-        lacks = "[membership]" if config.membership is None else "[zones]"
+        missing_table = "[membership]" if config.membership is None else "[zones]"
         raise OperatorConfigConflictError(
-            f"is held in common by zones' judges; {lacks} is missing", "locality"
+            f"[locality] requires [membership] and [zones], but {missing_table} is missing",
+            "locality",
         )
     region_of = {
         zone: region
@@ -691,18 +936,20 @@
         for zone in by_zone:
             if region_of and zone not in region_of:
                 raise OperatorConfigConflictError(
-                    "is in no region of membership.regions", f"locality.{key}.{zone}"
+                    "the zone is in no region of membership.regions",
+                    f"locality.{key}.{zone}",
                 )
     for zone, near in config.zones.near.items():
         for other in near:
             if region_of.get(zone) != region_of.get(other):
                 raise OperatorConfigConflictError(
-                    f"{other} lies in another region by membership.regions; a region's own zones come first",
+                    f"{other} is in another region by membership.regions;"
+                    " zones of the same region always come first",
                     f"zones.near.{zone}",
                 )
 
 
-# In this order: the first that fails is the one that is shown.
+# Run in this order; only the first failure is reported.
 CHECKS: tuple[Callable[[OperatorConfig], None], ...] = (
     check_membership,
     check_cells,
@@ -715,11 +962,15 @@
 )
 
 
-def address(text: str, what: str) -> Address:
-    """Reads `host:port`, the host as a number: a name would have to be looked up at each datagram.
+def parse_address(text: str, key: str) -> Address:
+    """Parses `IP:PORT`. The IP must be numeric, since a name would have to be resolved for each datagram.
+
+    Args:
+        text: The address.
+        key: Path of the key in the file, for error messages.
 
     Raises:
-        OperatorConfigAddressError: It is none; names `what`.
+        OperatorConfigAddressError: The text is not an address.
     """
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
@@ -727,9 +978,10 @@
         ip_address(host)
     except ValueError:
         host = ""
-    is_port = port.isascii() and port.isdigit() and int(port) <= LARGEST_PORT
+    is_port = port.isascii() and port.isdigit() and int(port) <= MAX_PORT
     if not host or not is_port:
         raise OperatorConfigAddressError(
-            f"{text!r} is not an address such as 10.0.0.1:7946", what
+            f"{text!r} is not an address of the form IP:PORT, such as 10.0.0.1:7946",
+            key,
         )
     return host, int(port)
--- a/loadbalancer/config/platform_settings.py
+++ b/loadbalancer/config/platform_settings.py
@@ -1,4 +1,8 @@
-"""The settings object, as the simulator's first message or a node's configuration gives it, to `Settings`."""
+"""Converts the platform's settings object to the policy's `Settings`.
+
+The object is part of the simulator's first message and of a node's configuration file. Times in it are in
+microseconds.
+"""
 
 from __future__ import annotations
 
@@ -16,17 +20,20 @@
     TenantSettings,
 )
 
-EFFECTS = {
+# By the class's "effect": whether a request may be executed more than once.
+IDEMPOTENCY_BY_EFFECT = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.WITH_KEY,
     "single_shot": Idempotency.NOT_IDEMPOTENT,
 }
-GROUPS = {
+# By the class's "group": the endpoints that discard duplicates of a request with a key.
+SCOPE_BY_GROUP = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-COLUMNS = {
+# The policy's name of a load report's value, by the platform's name for it.
+REPORT_FIELDS = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -36,36 +43,53 @@
 }
 
 
-# What the platform writes as a number: whole or not, never true, never beyond all use.
+# Integers and fractions that the platform writes; true, NaN and values beyond 1e300 are errors.
 Number = Annotated[float, Meta(gt=-1e300, lt=1e300)]
-Plain = str | int | float | bool | None  # an entry of a list that is read as it stands
+Scalar = (
+    str | int | float | bool | None
+)  # an entry of a list that is accepted with any simple type
 
 
 class Form(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A JSON object that the platform writes. Keys that are not known are skipped; an optional one may be
-    null, which is the same as absent.
+    """Base of the JSON objects that the platform writes.
+
+    Unknown keys are ignored. An optional key may be null, which means the same as its absence.
     """
 
 
-def located(error: msgspec.ValidationError) -> tuple[str, str]:
-    """Msgspec's words as the path of a key and what is wrong there: `classes[0].worth`, `missing`."""
-    what, mark, path = str(error).rpartition(" - at `")
+def locate_error(error: msgspec.ValidationError) -> tuple[str, str]:
+    """Splits a msgspec error into a key's path and a message, such as `classes[0].worth` and `missing`.
+
+    The path is empty if the error concerns the outermost value.
+    """
+    what, separator, path = str(error).rpartition(" - at `")
     what, path = (
-        (what, path.rstrip("`").removeprefix("$")) if mark else (str(error), "")
+        (what, path.rstrip("`").removeprefix("$")) if separator else (str(error), "")
     )
-    lacks = what.removeprefix("Object missing required field ")
-    if lacks != what:
-        path, what = f"{path}.{lacks.strip('`')}", "Missing"
+    missing_key = what.removeprefix("Object missing required field ")
+    if missing_key != what:
+        path, what = f"{path}.{missing_key.strip('`')}", "Missing"
     return path.lstrip("."), what[0].lower() + what[1:]
 
 
-def given(value: float | None, default: float) -> float:
-    """A number, or what holds where it is absent or null."""
+def value_or_default(value: float | None, default: float) -> float:
+    """Returns a number, or `default` if it is absent or null."""
     return default if value is None else value
 
 
 class ClassForm(Form, frozen=True, kw_only=True):
-    """A class of requests."""
+    """An entry of `classes`: a request class.
+
+    Attributes:
+        effect: Whether requests may be repeated (`IDEMPOTENCY_BY_EFFECT`).
+        goal_time: Latency objective in microseconds.
+        hard_limit: Deadline in microseconds, over all attempts.
+        worth: Priority weight of an answer within the latency objective.
+        late_value: Fraction of the priority weight that a later answer within the deadline has; absent: 0.
+        group: Endpoints that discard duplicates of a request with a key (`SCOPE_BY_GROUP`); absent: all.
+        window: Idempotency window: microseconds for which a request with a key is remembered.
+        stream: Whether responses are streams.
+    """
 
     effect: str
     goal_time: Number
@@ -78,13 +102,28 @@
 
 
 class TenantForm(Form, frozen=True, kw_only=True):
-    """A team that calls."""
+    """An entry of `tenants`: a team whose clients send requests.
+
+    Attributes:
+        quota_rps: Requests per second over all instances; absent or 0: no quota.
+    """
 
     quota_rps: Number | None = None
 
 
 class LimitsForm(Form, frozen=True, kw_only=True):
-    """`policy_limits`: what the platform allows a node."""
+    """`policy_limits`: what the platform permits a node to do.
+
+    Attributes:
+        max_attempts: Largest number of attempts for a request.
+        cancel: Whether attempts may be cancelled.
+        probing: Whether the node may send health checks.
+        peers: Whether nodes may send messages to each other.
+        second_copies: Whether hedged requests are permitted.
+        retry_after: Whether a rejection may advise when to retry.
+        max_retry_after: Longest such time in microseconds.
+        max_open: Largest number of calls in flight; absent: 20,000.
+    """
 
     max_attempts: Number
     cancel: bool | None = None
@@ -97,7 +136,16 @@
 
 
 class RulesForm(Form, frozen=True, kw_only=True):
-    """`rules`: what servers bear."""
+    """`rules`: how servers behave under load.
+
+    Attributes:
+        cold: Microseconds after its start at which a server is warm.
+        start_capacity: Fraction of its capacity that a server has at its start, or more.
+        fall_multiple: A server that is sent more than this multiple of its present capacity is overloaded.
+        tip_after: Microseconds of such overload after which it fails.
+        ask_within: Longest time between two polls of the endpoint list in microseconds.
+        answer_slack: Microseconds by which an answer may be noticed late.
+    """
 
     cold: Number
     start_capacity: Number
@@ -108,19 +156,45 @@
 
 
 class DeductionsForm(Form, frozen=True, kw_only=True):
-    """`deductions`: what the platform counts against an answer."""
+    """`deductions`: costs that the platform deducts from a response's value.
+
+    Attributes:
+        cross_zone: Cost of a call to another zone as a fraction of the request's value; absent: 0.
+    """
 
     cross_zone: Number | None = None
 
 
 class ReportForm(Form, frozen=True, kw_only=True):
-    """`report`: what servers tell of their load."""
+    """`report`: the load reports of servers.
 
-    columns: tuple[Plain, ...] | None = None
+    Attributes:
+        columns: The platform's names of a report's values, in their order (`REPORT_FIELDS`).
+    """
+
+    columns: tuple[Scalar, ...] | None = None
 
 
 class SettingsForm(Form, frozen=True, kw_only=True):
-    """The settings object."""
+    """The settings object.
+
+    Attributes:
+        classes: The request classes; their positions are the class numbers.
+        group_size: Number of instances that send to the tier, this one included.
+        tick: Least time between two batches of events in microseconds.
+        policy_limits: What the platform permits a node to do.
+        rules: How servers behave under load.
+        tenants: The tenants; their positions are the tenant numbers.
+        tier: Number of the tier that this node sends to.
+        layers: The tiers; only their count is used.
+        zone: Number of this node's zone.
+        self_index: Number of this node among the instances.
+        discovery: "ask" if the endpoint list has to be polled.
+        weights: "off" or absent if the endpoint list has no weights.
+        deductions: Costs that the platform deducts from a response's value.
+        over_share_worth: Value of a request over its tenant's quota, as a fraction; absent: 1.
+        report: The load reports of servers.
+    """
 
     classes: tuple[ClassForm, ...]
     group_size: Number
@@ -129,7 +203,7 @@
     rules: RulesForm
     tenants: tuple[TenantForm, ...] | None = None
     tier: Number | None = None
-    layers: tuple[Plain, ...] | None = None
+    layers: tuple[Scalar, ...] | None = None
     zone: Number | None = None
     self_index: Number | None = None
     discovery: str | None = None
@@ -139,22 +213,32 @@
     report: ReportForm | None = None
 
 
-def settings_of(env: object) -> Settings:
-    """The settings in decoded JSON. A missing or impossible value is a SettingsError that names the key."""
+def parse_settings(table: object) -> Settings:
+    """Converts decoded JSON to the policy's settings.
+
+    Raises:
+        SettingsError: A value is missing or invalid; the error names the key.
+    """
     try:
-        return settings_from(msgspec.convert(env, SettingsForm))
+        return build_settings(msgspec.convert(table, SettingsForm))
     except msgspec.ValidationError as e:
-        key, what = located(e)
+        key, what = locate_error(e)
         if not key:
-            raise SettingsError("not an object", "settings") from None
+            raise SettingsError(
+                "not an object; a JSON object is required", "settings"
+            ) from None
         raise SettingsError(what, f"settings.{key}") from None
 
 
-def settings_from(form: SettingsForm) -> Settings:
-    """The settings in a settings object whose form is right; a SettingsError if a value is impossible."""
+def build_settings(form: SettingsForm) -> Settings:
+    """Converts a settings object whose types have been checked to the policy's settings.
+
+    Raises:
+        SettingsError: A value is invalid.
+    """
     limits, rules = form.policy_limits, form.rules
     return Settings(
-        classes=tuple(class_of(c) for c in form.classes),
+        classes=tuple(build_request_class(entry) for entry in form.classes),
         tenants=tuple(
             TenantSettings(quota=t.quota_rps or 0.0) for t in form.tenants or ()
         ),
@@ -171,7 +255,7 @@
         hedged_requests=bool(limits.second_copies),
         retry_after=bool(limits.retry_after),
         max_retry_after=int(limits.max_retry_after or 0),
-        max_open_requests=int(given(limits.max_open, 20000)),
+        max_open_requests=int(value_or_default(limits.max_open, 20000)),
         list_must_be_polled=form.discovery == "ask",
         list_poll_interval=int(rules.ask_within or 0),
         list_weights=form.weights not in (None, "off"),
@@ -182,29 +266,30 @@
         answer_slack=int(rules.answer_slack or 0),
         cross_zone_cost=(form.deductions.cross_zone if form.deductions else None)
         or 0.0,
-        over_quota_weight=given(form.over_share_worth, 1.0),
+        over_quota_weight=value_or_default(form.over_share_worth, 1.0),
         report_fields=tuple(
-            plain_name(c) for c in (form.report.columns if form.report else None) or ()
+            report_field_name(value)
+            for value in (form.report.columns if form.report else None) or ()
         ),
     )
 
 
-def plain_name(column: Plain) -> str:
-    """The plain word for a load report's value, where the settings have another."""
-    return COLUMNS.get(str(column), str(column))
+def report_field_name(value: Scalar) -> str:
+    """Returns the policy's name of a load report's value; the platform's name where both are the same."""
+    return REPORT_FIELDS.get(str(value), str(value))
 
 
-def class_of(c: ClassForm) -> RequestClass:
-    """A request class. An effect or group that is not known gets the fewest rights there are."""
+def build_request_class(form: ClassForm) -> RequestClass:
+    """Converts a class. An unknown effect or group gets the most restrictive meaning."""
     return RequestClass(
-        idempotency=EFFECTS.get(c.effect, Idempotency.NOT_IDEMPOTENT),
-        latency_objective=int(c.goal_time),
-        deadline=int(c.hard_limit),
-        priority_weight=c.worth,
-        late_priority_weight=c.late_value or 0.0,
-        deduplication_scope=GROUPS.get(
-            "all" if c.group is None else c.group, DeduplicationScope.CELL
+        idempotency=IDEMPOTENCY_BY_EFFECT.get(form.effect, Idempotency.NOT_IDEMPOTENT),
+        latency_objective=int(form.goal_time),
+        deadline=int(form.hard_limit),
+        priority_weight=form.worth,
+        late_priority_weight=form.late_value or 0.0,
+        deduplication_scope=SCOPE_BY_GROUP.get(
+            "all" if form.group is None else form.group, DeduplicationScope.CELL
         ),
-        idempotency_window=int(c.window or 0),
-        stream=bool(c.stream),
+        idempotency_window=int(form.window or 0),
+        stream=bool(form.stream),
     )
--- a/loadbalancer/errors.py
+++ b/loadbalancer/errors.py
@@ -1,8 +1,7 @@
-"""The one base of the project's errors: what is wrong, where, and what an operator can do about it.
+"""Base class of the errors that operators see: what is wrong, where, and how to fix it.
 
-Every error that an operator may see is a type of its own under `LoadBalancerError`, with a `remedy` that is
-written for that type alone. `tests/test_errors.py` walks all subclasses: each has a remedy, and a line in
-`docs/on-call.md`.
+Every such error has its own subclass of `LoadBalancerError` with its own `remedy`. `tests/test_errors.py`
+checks all subclasses: each has a remedy, and a row in `docs/on-call.md`.
 """
 
 from __future__ import annotations
@@ -11,14 +10,20 @@
 
 
 class LoadBalancerError(Exception):
-    """Something an operator may have to act on.
+    """An error that an operator may have to act on.
 
-    `what` is wrong, in plain words; `where` is the file and key path, the peer or the store, if there is one.
-    `remedy` is the type's own, unless the place that raises knows better.
+    Args:
+        what: What is wrong, in plain language.
+        where: The file and the key's path, the peer or the store; empty if there is none.
+        remedy: How to fix this occurrence; empty: the `remedy` of the type.
+
+    Attributes:
+        remedy: How to fix errors of this type.
+        code: The published name of the type if it differs from the class name.
+        advice: How to fix this occurrence.
     """
 
     remedy: ClassVar[str] = ""
-    # The published name of a type that was renamed; else the type's own
     code: ClassVar[str] = ""
 
     def __init__(self, what: str, where: str = "", remedy: str = "") -> None:
@@ -27,18 +32,18 @@
         self.where = where
         self.advice = remedy or self.remedy
 
-    def within(self, place: str) -> Self:
-        """The same error, seen from further out: `place` (a file, an option, a peer) goes before `where`."""
-        self.where = f"{place}: {self.where}" if self.where else place
+    def within(self, location: str) -> Self:
+        """Prepends an outer location (a file, an option, a peer) to `where` and returns the same error."""
+        self.where = f"{location}: {self.where}" if self.where else location
         self.args = (f"{self.where}: {self.what}",)
         return self
 
     def line(self) -> str:
-        """What, where and the remedy in one line, as the log and the command line show it."""
+        """Returns the location, the fault and the remedy in one line, for the log and the command line."""
         return f"{self} -- {self.advice}"
 
     def table(self) -> dict[str, str]:
-        """The same for the control listener."""
+        """Returns the error as the JSON object that the admin listener sends."""
         name = vars(type(self)).get("code") or type(self).__name__
         return {
             "error": name,
--- a/loadbalancer/lab/swarm/ledger_check.py
+++ b/loadbalancer/lab/swarm/ledger_check.py
@@ -141,7 +141,9 @@
         """The ledger that a killed node has left in its store; empty if it cannot be read."""
         table = build({"store": self.swarm.store or {}}, "script").store
         assert table is not None
-        folder = replace(table.wish(), path=str(self.nodes[name].folder / "store"))
+        folder = replace(
+            table.store_config(), path=str(self.nodes[name].folder / "store")
+        )
         try:
             store = open_store(folder, name) if table.kind != "memory" else None
             if store is None:
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: the environment and the configuration file, checked."""
+"""Reads and validates a node's configuration: the environment and the configuration file."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     Form,
     LimitsForm,
     Number,
-    Plain,
     ReportForm,
+    Scalar,
     SettingsForm,
     TenantForm,
-    given,
-    located,
-    plain_name,
-    settings_from,
+    build_settings,
+    locate_error,
+    report_field_name,
+    value_or_default,
 )
 from loadbalancer.errors import LoadBalancerError
 from loadbalancer.node.admin import RESERVED_DESCRIPTORS as ADMIN_DESCRIPTORS
@@ -35,12 +35,12 @@
 
 Address = tuple[str, int]
 
-# The event loop's own, the listener, UDP, discovery, the standard streams
+# Descriptors set aside for the event loop, the listener, UDP, discovery and the standard streams
 RESERVED_SOCKETS = 32
-HELD_SHARE = 8  # an eighth of the memory may hold clients' requests
-LEAST_CONNECTIONS = 8
-# Keys that a file may leave out though the one before had them.
-OPTIONAL = frozenset(
+REQUEST_MEMORY_DIVISOR = 8  # clients' requests may use an eighth of the memory
+MIN_CONNECTIONS = 8  # descriptors for the connections of clients and servers together
+# Keys that a new file may omit at a reload although the file in force has them
+OPTIONAL_KEYS = frozenset(
     (
         "known",
         "seed",
@@ -55,7 +55,7 @@
 
 
 class ConfigError(LoadBalancerError):
-    """The node cannot start, or go on, with what it was told; the text is one plain line."""
+    """The node cannot use its configuration; the message is one line."""
 
     remedy: ClassVar[str] = (
         "run `loadbalancer check FILE` on the node's configuration file and correct it"
@@ -63,7 +63,7 @@
 
 
 class ConfigNotNamedError(ConfigError):
-    """Nothing names a configuration file."""
+    """The environment names no configuration file."""
 
     code: ClassVar[str] = "ConfigUnset"
     remedy: ClassVar[str] = (
@@ -72,7 +72,7 @@
 
 
 class ConfigUnreadableError(ConfigError):
-    """The configuration file is not there, or not for this user to read."""
+    """The configuration file does not exist, or the node's user may not read it."""
 
     code: ClassVar[str] = "ConfigUnreadable"
     remedy: ClassVar[str] = (
@@ -85,21 +85,21 @@
 
     code: ClassVar[str] = "ConfigMalformed"
     remedy: ClassVar[str] = (
-        "write the whole file as one JSON object; replace it by renaming, never in place"
+        "write the complete file as one JSON object; replace it by renaming, never in place"
     )
 
 
 class ConfigKeyMissingError(ConfigError):
-    """A key that must be there is not: the file was cut down, or its writer stopped early."""
+    """A required key is missing: the file was truncated, or its writer stopped early."""
 
     code: ClassVar[str] = "ConfigMissing"
     remedy: ClassVar[str] = (
-        "put the named key back, with the value it had in the file before"
+        "add the named key again, with the value that it had in the previous file"
     )
 
 
 class ConfigValueError(ConfigError):
-    """A key of the configuration file has a value of another kind, or out of its range."""
+    """A key of the configuration file has a value of the wrong type or outside its range."""
 
     code: ClassVar[str] = "ConfigValue"
     remedy: ClassVar[str] = (
@@ -108,40 +108,65 @@
 
 
 class ConfigAddressError(ConfigError):
-    """An address of the configuration file or the environment that is not HOST:PORT."""
+    """An address in the configuration file or the environment is not of the form HOST:PORT."""
 
     code: ClassVar[str] = "ConfigAddress"
     remedy: ClassVar[str] = (
-        "write the named address as HOST:PORT, with a port of 0 to 65535: 127.0.0.1:8080"
+        "write the named address as HOST:PORT with a port from 0 to 65535, such as 127.0.0.1:8080"
     )
 
 
 class ConfigDescriptorError(ConfigError):
-    """LB_ACCEPT_FD is not the number of a descriptor."""
+    """LB_ACCEPT_FD is not the number of a file descriptor."""
 
     code: ClassVar[str] = "ConfigDescriptor"
     remedy: ClassVar[str] = (
-        "let LB_ACCEPT_FD hold the number under which the platform hands the socket over"
+        "set LB_ACCEPT_FD to the descriptor number of the socket that the platform passes on"
     )
 
 
 @dataclass(frozen=True)
 class Config:
-    """One node's configuration."""
+    """One node's configuration.
+
+    Attributes:
+        name: The node's name.
+        listen: Address for clients.
+        discovery: Address of the discovery agent.
+        control: Address of the admin listener for operators; None if there is none.
+        accept_fd: Descriptor of the clients' listening socket, if the platform passes it on.
+        filed_discovery: The discovery address as the file has it; the environment may override it.
+        filed: The file's contents without keys that are used only at a start.
+        seed: Seed of the policy's random numbers.
+        connections: Descriptors that clients and servers may use together.
+        reserved: Descriptors set aside for everything else.
+        most_held: Bytes of clients' requests that may be in memory.
+        peer_listen: UDP address for messages from the other nodes of the tier; None if there is none.
+        peers: Addresses of the tier's nodes, by number.
+        peers_all: Address that reaches all nodes of the tier; None if there is none.
+        known: The endpoint list at the start; None if the file has none.
+        settings: The policy's settings.
+        classes: Names of the request classes, by number.
+        tenants: Names of the tenants, by number.
+        zones: Names of the zones, by number.
+        kinds: Names of the kinds of servers, by number.
+        connect_timeout: Seconds within which a connection to a server must be open.
+        idle_time: Seconds after which a server closes an idle connection.
+        inline_reports: Whether load reports come with the responses.
+        report_names: For each value of a load report the platform's name and the policy's.
+    """
 
     name: str
     listen: Address
     discovery: Address
-    control: Address | None  # where operators call
-    accept_fd: int | None  # the clients' listening socket, where the platform holds it
-    filed_discovery: (
-        object  # as it stands in the file, which the environment may override
-    )
-    filed: dict[str, Any]  # the file, but for what is of use at a start only
+    control: Address | None
+    accept_fd: int | None
+    filed_discovery: object
+    filed: dict[str, Any]
     seed: int
-    connections: int  # descriptors that clients and servers may use together
-    reserved: int  # descriptors for all else
-    most_held: int  # bytes of clients' requests that may be in memory
+    connections: int
+    reserved: int
+    most_held: int
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
@@ -151,240 +176,285 @@
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    connect_timeout: float  # seconds
-    idle_time: float  # seconds after which a server closes an idle connection
+    connect_timeout: float
+    idle_time: float
     inline_reports: bool
-    report_names: tuple[
-        tuple[str, str], ...
-    ]  # a load report's values: the settings' word, the plain one
+    report_names: tuple[tuple[str, str], ...]
+
 
+def read_address(text: object, key: str) -> Address:
+    """Parses `host:port`.
 
-def read_address(text: object, what: str) -> Address:
-    """`host:port` as a pair; a ConfigAddressError that names `what` otherwise."""
+    Args:
+        text: The value from the file.
+        key: Path of the value's key, for error messages.
+
+    Raises:
+        ConfigAddressError: The value is not such an address.
+    """
     if isinstance(text, str):
         host, _, port = text.rpartition(":")
         host = host.strip("[]")
         if host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536:
             return host, int(port)
-    raise ConfigAddressError("not an address of the form host:port", what)
+    raise ConfigAddressError(
+        "not an address of the form host:port with a port from 0 to 65535", key
+    )
 
 
 def load(environ: Mapping[str, str], last: Config | None = None) -> Config:
-    """Reads `LB_CONFIG`; `LB_NAME`, `LB_LISTEN`, `LB_DISCOVERY` and `LB_CONTROL` override what stands there.
+    """Reads the file that `LB_CONFIG` names.
+
+    `LB_NAME`, `LB_LISTEN`, `LB_DISCOVERY` and `LB_CONTROL` override its values. At a reload the environment
+    is still that of the start. A discovery address that has changed in the file is applied; one that has not
+    changed leaves the address in force.
 
-    At a reload (`last` is the configuration in force) the environment is still that of the start: an
-    address of discovery that has changed in the file holds, and one that has not leaves what is in force.
-    What cannot be used is a ConfigError; nothing else is raised.
+    Args:
+        environ: The environment.
+        last: The configuration in force; None at the start.
+
+    Raises:
+        ConfigError: The configuration cannot be used. No other type is raised.
     """
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigNotNamedError("LB_CONFIG is not set")
     try:
         return load_file(path, environ, last)
-    except (SettingsError, ListError) as e:
-        raise ConfigValueError(e.what, e.where).within(f"LB_CONFIG: {path}") from None
-    except (
-        UnicodeError
-    ):  # JSON can write half of a surrogate pair, where a number stands too
+    except (SettingsError, ListError) as error:
+        raise ConfigValueError(error.what, error.where).within(
+            f"LB_CONFIG: {path}"
+        ) from None
+    # JSON can encode half of a surrogate pair, in text and where a number is expected.
+    except UnicodeError:
         raise ConfigValueError(
-            "text with half a character", f"LB_CONFIG: {path}"
+            "a text contains an incomplete surrogate pair, which is not valid Unicode",
+            f"LB_CONFIG: {path}",
         ) from None
     except ConfigDescriptorError:
         raise
-    except ConfigError as e:
-        raise e.within(f"LB_CONFIG: {path}") from None
+    except ConfigError as error:
+        raise error.within(f"LB_CONFIG: {path}") from None
 
 
 def load_file(path: str, environ: Mapping[str, str], last: Config | None) -> Config:
-    """The same, with paths of keys that begin in the file."""
+    """Reads the file at `path` as `load` does; its errors name the key but not the file.
+
+    Raises:
+        ConfigError, SettingsError, ListError or UnicodeError: The configuration cannot be used.
+    """
     try:
         with open(path, "rb") as file:
             table = json.loads(file.read())
-    except OSError as e:
-        raise ConfigUnreadableError(e.strerror or str(e)) from None
+    except OSError as error:
+        raise ConfigUnreadableError(error.strerror or str(error)) from None
     except (ValueError, RecursionError):
-        raise ConfigSyntaxError("not JSON") from None
+        raise ConfigSyntaxError("not JSON; the file must be one JSON object") from None
     if not isinstance(table, dict):
-        raise ConfigSyntaxError("not an object")
+        raise ConfigSyntaxError("not an object; the file must be one JSON object")
     filed = table.get("discovery")
-    kept = {key: value for key, value in table.items() if key != "known"}
+    reloadable = {key: value for key, value in table.items() if key != "known"}
     if last is not None:
-        lacks = missing(kept, last.filed)
-        if lacks is not None:
-            raise ConfigKeyMissingError(f"{lacks} is missing")
+        missing_key = find_missing_key(reloadable, last.filed)
+        if missing_key is not None:
+            raise ConfigKeyMissingError(
+                f"{missing_key} is missing, but the configuration in force has it"
+            )
     for key in ("name", "listen", "discovery", "control"):
         table[key] = environ.get(f"LB_{key.upper()}") or table.get(key)
         if table[key] is None:
             del table[key]
     if last is not None and filed:
-        same = filed == last.filed_discovery
+        unchanged = filed == last.filed_discovery
         table["discovery"] = (
-            f"{last.discovery[0]}:{last.discovery[1]}" if same else filed
+            f"{last.discovery[0]}:{last.discovery[1]}" if unchanged else filed
+        )
+    descriptor = environ.get("LB_ACCEPT_FD")
+    if descriptor and not (descriptor.isascii() and descriptor.isdigit()):
+        raise ConfigDescriptorError(
+            "not a descriptor: the value must be a decimal number", "LB_ACCEPT_FD"
         )
-    handed = environ.get("LB_ACCEPT_FD")
-    if handed and not (handed.isascii() and handed.isdigit()):
-        raise ConfigDescriptorError("not a descriptor", "LB_ACCEPT_FD")
-    accept_fd = int(handed) if handed else None
-    return replace(read(table), filed_discovery=filed, filed=kept, accept_fd=accept_fd)
+    accept_fd = int(descriptor) if descriptor else None
+    return replace(
+        read(table), filed_discovery=filed, filed=reloadable, accept_fd=accept_fd
+    )
+
 
+def find_missing_key(new: Any, old: Any, where: str = "") -> str | None:
+    """Finds a key that the file in force has and the new file lacks.
 
-def missing(new: Any, old: Any, where: str = "") -> str | None:
-    """A key that the file in force has and the new one lacks: then the new one is not whole.
+    Failure prevented: a truncated file is accepted, and its missing keys fall back to defaults. Each entry of
+    a list must have the keys that all entries of the old list have.
 
-    Failure prevented: a file that was cut down passes, and what it lacks falls back to a default. Of a
-    list's entries each must have what all of the old ones have.
+    Args:
+        new: The new value.
+        old: The value in force.
+        where: Path of the value with a final period; empty for the file itself.
+
+    Returns:
+        The path of the first missing key; None if there is none.
     """
     if isinstance(old, dict):
         if not isinstance(new, dict):
             return where.rstrip(".") or "all"
         for key, value in old.items():
-            if key in OPTIONAL:
+            if key in OPTIONAL_KEYS:
                 continue
             if key not in new:
                 return f"{where}{key}"
-            lacks = missing(new[key], value, f"{where}{key}.")
-            if lacks is not None:
-                return lacks
+            missing_key = find_missing_key(new[key], value, f"{where}{key}.")
+            if missing_key is not None:
+                return missing_key
     elif (
         isinstance(old, list)
         and isinstance(new, list)
         and old
-        and all(isinstance(o, dict) for o in old)
+        and all(isinstance(item, dict) for item in old)
     ):
-        shared = {key: None for key in old[0] if all(key in o for o in old)}
+        common_keys = {key: None for key in old[0] if all(key in item for item in old)}
         for entry in new:
-            lacks = missing(entry, shared, where)
-            if lacks is not None:
-                return lacks
+            missing_key = find_missing_key(entry, common_keys, where)
+            if missing_key is not None:
+                return missing_key
     return None
 
 
 class NamedClass(ClassForm, frozen=True, kw_only=True):
-    """A class of requests, by the name that clients call it."""
+    """An entry of `classes`, with the name that clients send."""
 
     name: str
 
 
 class NamedTenant(TenantForm, frozen=True, kw_only=True):
-    """A team, by the name that clients give."""
+    """An entry of `tenants`, with the name that clients send."""
 
     name: str
 
 
 class NodeLimits(LimitsForm, frozen=True, kw_only=True):
-    """`policy_limits`, with the times that only a node on sockets needs."""
+    """`policy_limits`, with the times in microseconds that only a node on sockets needs."""
 
     connect_timeout: Number | None = None
     conn_idle: Number | None = None
 
 
 class NodeReport(ReportForm, frozen=True, kw_only=True):
-    """`report`, with the way in which it comes."""
+    """`report`, with the way in which servers send it (`how`)."""
 
     how: str | None = None
 
 
 class NodeSettings(SettingsForm, frozen=True, kw_only=True):
-    """The settings object, with what only a node on sockets needs."""
+    """The settings object, with the keys that only a node on sockets needs."""
 
     classes: tuple[NamedClass, ...]
     tenants: tuple[NamedTenant, ...] | None = None
     policy_limits: NodeLimits
     report: NodeReport | None = None
-    dcs: tuple[Plain, ...] | None = None
-    kinds: tuple[Plain, ...] | None = None
+    dcs: tuple[Scalar, ...] | None = None
+    kinds: tuple[Scalar, ...] | None = None
 
 
 class Limits(Form, frozen=True, kw_only=True):
-    """`limits`: what the process may use."""
+    """`limits`: file descriptors (`sockets`) and MiB of memory that the process may use."""
 
     sockets: Number | None = None
     memory_mb: Number | None = None
 
 
 class File(Form, frozen=True, kw_only=True):
-    """The configuration file."""
+    """The configuration file; `Config` describes its keys."""
 
     name: str
     listen: str
     discovery: str
     settings: NodeSettings
     seed: str = "0"
-    # Addresses that may be left out: null, false and "" all mean none
+    # Optional addresses: null, false and "" all mean that there is none
     control: Any = None
     limits: Limits | None = None
     peer_listen: Any = None
-    peers: tuple[Plain, ...] | None = None
+    peers: tuple[Scalar, ...] | None = None
     peers_all: Any = None
     known: Any = None
 
 
 def read(table: dict[str, Any]) -> Config:
-    """A Config from the decoded file. What is missing or impossible is a SettingsError, a ListError, a
-    ConfigError or, where text has half a character, a UnicodeError.
+    """Validates the decoded file and converts it to a configuration.
+
+    Raises:
+        SettingsError: A value of the settings is missing or invalid.
+        ListError: The endpoint list is invalid.
+        ConfigError: Another key is missing or invalid.
+        UnicodeError: A name contains an incomplete surrogate pair.
     """
     try:
         file = msgspec.convert(table, File)
-    except msgspec.ValidationError as e:
-        key, what = located(e)
-        kind = SettingsError if key.startswith("settings") else ConfigValueError
+    except msgspec.ValidationError as error:
+        key, what = locate_error(error)
+        error_type = SettingsError if key.startswith("settings") else ConfigValueError
         raise (
             ConfigKeyMissingError
-            if what == "missing" and kind is ConfigValueError
-            else kind
+            if what == "missing" and error_type is ConfigValueError
+            else error_type
         )(what, key) from None
     try:
-        number = int(file.seed, 16)
+        seed = int(file.seed, 16)
     except ValueError:
-        raise ConfigValueError("not a hexadecimal number", "seed") from None
+        raise ConfigValueError("not a hexadecimal number, such as 1f", "seed") from None
     limits = file.limits or Limits()
     sockets, memory = (
-        int(given(limits.sockets, 1024)),
-        int(given(limits.memory_mb, 128)),
+        int(value_or_default(limits.sockets, 1024)),
+        int(value_or_default(limits.memory_mb, 128)),
     )
     reserved = RESERVED_SOCKETS + (ADMIN_DESCRIPTORS if file.control else 0)
-    if sockets < reserved + LEAST_CONNECTIONS:
+    if sockets < reserved + MIN_CONNECTIONS:
         raise ConfigValueError(
-            f"at least {reserved + LEAST_CONNECTIONS} are needed", "limits.sockets"
+            f"at least {reserved + MIN_CONNECTIONS} file descriptors are required",
+            "limits.sockets",
         )
-    # Failure prevented: the file allows more than the system does, idle clients fill what there is, and
-    # nothing is left aside for discovery, servers and operators.
-    system, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if system != resource.RLIM_INFINITY:
-        sockets = max(reserved + LEAST_CONNECTIONS, min(sockets, system))
+    # Failure prevented: if the file allows more descriptors than the system, idle clients use them all, and
+    # none is left for discovery, servers and operators.
+    descriptor_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if descriptor_limit != resource.RLIM_INFINITY:
+        sockets = max(reserved + MIN_CONNECTIONS, min(sockets, descriptor_limit))
     settings = file.settings
     policy, report = settings.policy_limits, settings.report or NodeReport()
     classes = tuple(c.name for c in settings.classes)
     "".join(
         (file.name, *classes, *(t.name for t in settings.tenants or ()))
-    ).encode()  # all go out as bytes
+    ).encode()  # checks that all names can be sent as bytes
     if len(set(classes)) < len(classes):
-        raise ConfigValueError("a name stands twice", "settings.classes")
+        raise ConfigValueError(
+            "two classes have the same name; names must be unique", "settings.classes"
+        )
     return Config(
         name=file.name,
         listen=read_address(file.listen, "listen"),
         discovery=read_address(file.discovery, "discovery"),
         filed_discovery=file.discovery,
         filed={},
-        seed=number,
+        seed=seed,
         control=read_address(file.control, "control") if file.control else None,
         accept_fd=None,
         connections=sockets - reserved,
         reserved=reserved,
-        most_held=(memory << 20) // HELD_SHARE,
+        most_held=(memory << 20) // REQUEST_MEMORY_DIVISOR,
         peer_listen=read_address(file.peer_listen, "peer_listen")
         if file.peer_listen
         else None,
         peers=tuple(read_address(p, "peers") for p in file.peers or ()),
         peers_all=read_address(file.peers_all, "peers_all") if file.peers_all else None,
         known=read_listing(file.known, ListUpdateKind.CACHED) if file.known else None,
-        settings=settings_from(settings),
+        settings=build_settings(settings),
         classes=classes,
         tenants=tuple(t.name for t in settings.tenants or ()),
         zones=tuple(str(z) for z in settings.dcs or ()),
         kinds=tuple(str(k) for k in settings.kinds or ()),
-        connect_timeout=int(given(policy.connect_timeout, 250_000)) / 1e6,
-        idle_time=int(given(policy.conn_idle, 15_000_000)) / 1e6,
+        connect_timeout=int(value_or_default(policy.connect_timeout, 250_000)) / 1e6,
+        idle_time=int(value_or_default(policy.conn_idle, 15_000_000)) / 1e6,
         inline_reports=report.how == "inline",
-        report_names=tuple((str(c), plain_name(c)) for c in report.columns or ()),
+        report_names=tuple(
+            (str(c), report_field_name(c)) for c in report.columns or ()
+        ),
     )
--- a/loadbalancer/node/discovery/endpoint_list_codec.py
+++ b/loadbalancer/node/discovery/endpoint_list_codec.py
@@ -11,7 +11,12 @@
 
 import msgspec
 
-from loadbalancer.config.platform_settings import Form, Number, given, located
+from loadbalancer.config.platform_settings import (
+    Form,
+    Number,
+    locate_error,
+    value_or_default,
+)
 from loadbalancer.errors import LoadBalancerError
 from loadbalancer.policy.api import EndpointState, ListUpdateKind
 
@@ -108,12 +113,12 @@
 
 def wrong(error: msgspec.ValidationError, path: str = "list") -> ListError:
     """Msgspec's words as an error of ours; `path` is that of the table that was read."""
-    key, what = located(error)
+    key, what = locate_error(error)
     return ListError(what, f"{path}.{key}") if key else ListMalformed(what, path)
 
 
 def read_listing(table: object, kind: ListUpdateKind | None = None) -> Listing:
-    """A Listing from decoded JSON, of the `kind` it states itself if none is given.
+    """A Listing from decoded JSON, of the `kind` it states itself if none is value_or_default.
 
     Failure prevented: skipping one bad line of a full list would remove a server that runs. Anything
     wrong is a ListError for the whole list, and the list in hand stays.
@@ -158,7 +163,7 @@
         kind=entry.kind or "",
         cell=int(entry.cell or 0),
         state=STATES.get(entry.state, EndpointState.DRAINING),
-        weight=given(entry.weight, 1.0),
+        weight=value_or_default(entry.weight, 1.0),
         started=int(entry.started_ms or 0) * 1000,
     )
 
--- a/loadbalancer/node/features/audit_remediation.py
+++ b/loadbalancer/node/features/audit_remediation.py
@@ -85,7 +85,7 @@
             return
         elif remediation.kind is RemediationKind.REQUEST_FROM_AGENT:
             counters.agents_asked += 1
-            agent = self.context.table.others()[remediation.agent_index]
+            agent = self.context.table.agent_addresses()[remediation.agent_index]
             self.endpoint_exchange.fetch_from_agent(agent, target)
         elif remediation.kind is RemediationKind.REQUEST_FROM_PEER:
             counters.peers_asked += 1
--- a/loadbalancer/node/features/resources.py
+++ b/loadbalancer/node/features/resources.py
@@ -101,7 +101,7 @@
         self._note_dependency(STORE_TABLE)
         if self._store is None:
             table = self.host.operator_config().store
-            options = table.wish() if table is not None else None
+            options = table.store_config() if table is not None else None
             self._store = SharedStore(open_store(options, self.host.name))
         return self._store
 
--- a/loadbalancer/node/features/shards.py
+++ b/loadbalancer/node/features/shards.py
@@ -105,7 +105,7 @@
             )
         }
         self.key_locations: dict[bytes, tuple[int, bytes]] = {}
-        for name, location in self.config.places().items():
+        for name, location in self.config.key_locations().items():
             if idempotency.get(name) == Idempotency.IDEMPOTENT:
                 self.key_locations[name.encode()] = location
                 continue
--- a/loadbalancer/node/lifecycle/process_share.py
+++ b/loadbalancer/node/lifecycle/process_share.py
@@ -5,7 +5,7 @@
 import os
 from typing import TYPE_CHECKING
 
-from loadbalancer.node.config import LEAST_CONNECTIONS
+from loadbalancer.node.config import MIN_CONNECTIONS
 from loadbalancer.node.lifecycle.upgrade import (
     NO_SIBLINGS,
     SIBLING_CHECK_INTERVAL_S,
@@ -87,7 +87,7 @@
         node = self.node
         total = node.config.connections + node.config.reserved
         share = descriptor_share(total, self.siblings)
-        connections = max(LEAST_CONNECTIONS, share - node.config.reserved)
+        connections = max(MIN_CONNECTIONS, share - node.config.reserved)
         node.pool.max_connections = connections // 2
         node.client_listener.resize(
             connections - node.pool.max_connections,
--- a/loadbalancer/simulator.py
+++ b/loadbalancer/simulator.py
@@ -12,7 +12,7 @@
 from struct import Struct
 from typing import Any, BinaryIO
 
-from loadbalancer.config.platform_settings import settings_of
+from loadbalancer.config.platform_settings import parse_settings
 from loadbalancer.errors import LoadBalancerError
 from loadbalancer.policy.api import (
     EndpointEntry,
@@ -58,7 +58,7 @@
         env = json.loads(text)
     except (ValueError, RecursionError) as e:
         raise FrameError(f"settings are not JSON: {e}") from None
-    return settings_of(env)
+    return parse_settings(env)
 
 
 class Host:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -157,12 +157,15 @@
     ("table", "words"),
     [
         ({"listen": "here:1"}, "membership.listen: 'here:1' is not an address"),
-        ({"listen": "0.0.0.0:1"}, "membership.advertise: others cannot reach 0.0.0.0"),
+        (
+            {"listen": "0.0.0.0:1"},
+            "membership.advertise: other nodes cannot reach the wildcard address 0.0.0.0",
+        ),
         ({"seeds": ["10.0.0.1"]}, "membership.seeds[0]"),
         ({"probe_ms": 100.0}, "membership.probe_timeout_ms: 150 is not below probe_ms"),
         (
             {"regions": {"n": ["a"], "s": ["a"]}},
-            "membership.regions: zone a stands twice",
+            "membership.regions: zone a is listed more than once",
         ),
         ({"probe": 1}, "membership.probe: unknown key; did you mean probe_ms?"),
     ],
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -17,7 +17,7 @@
 
 from loadbalancer.node import admin as control_module
 from loadbalancer.node.admin import MAX_CONNECTIONS, AdminServer
-from loadbalancer.node.config import ConfigError, load, missing
+from loadbalancer.node.config import ConfigError, find_missing_key, load
 from loadbalancer.node.lifecycle.reload import ClassTable
 from loadbalancer.node.lifecycle.upgrade import ProcessRegistry
 from loadbalancer.policy.api import Idempotency
@@ -437,11 +437,11 @@
 
 def test_a_key_that_the_old_file_had_must_be_there():
     old = {"a": {"b": 1}, "list": [{"x": 1, "y": 2}, {"x": 1}], "known": 1}
-    assert missing(old, old) is None
-    assert missing({"a": {"b": 2}, "list": [{"x": 3}]}, old) is None
-    assert missing({"a": {}, "list": []}, old) == "a.b"
-    assert missing({"a": {"b": 1}, "list": [{"y": 3}]}, old) == "list.x"
-    assert missing({"a": 3, "list": []}, old) == "a"
+    assert find_missing_key(old, old) is None
+    assert find_missing_key({"a": {"b": 2}, "list": [{"x": 3}]}, old) is None
+    assert find_missing_key({"a": {}, "list": []}, old) == "a.b"
+    assert find_missing_key({"a": {"b": 1}, "list": [{"y": 3}]}, old) == "list.x"
+    assert find_missing_key({"a": 3, "list": []}, old) == "a"
 
 
 async def test_sighup_with_every_broken_file_leaves_the_program_serving(tmp_path):
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -228,7 +228,7 @@
         {"shards": {"keys": {"read": "path 2", "list": "header X-Item"}}}, "f"
     ).shards
     assert found is not None
-    assert found.places() == {
+    assert found.key_locations() == {
         "read": (2, b""),
         "list": (0, b"x-item"),
     }
--- a/tests/test_store_table.py
+++ b/tests/test_store_table.py
@@ -9,7 +9,7 @@
 def wish(**keys) -> StoreConfig:
     table = build({"store": keys}, "f").store
     assert table is not None
-    return table.wish()
+    return table.store_config()
 
 
 def test_without_a_table_or_with_an_empty_one_state_lies_in_memory():
--- a/tests/test_zone_failover.py
+++ b/tests/test_zone_failover.py
@@ -364,10 +364,16 @@
         ("[zones]\nreturn_s = 'soon'", ["zones.return_s: expected"]),
         (
             "[zones]\npanic_below_percent = 90",
-            ["zones.panic_until_percent", "panic ends no lower"],
+            ["zones.panic_until_percent", "panic must not end at a lower"],
+        ),
+        (
+            "[zones]\nnear = { a = ['a'] }",
+            ["zones.near.a: the list names the zone itself"],
+        ),
+        (
+            "[zones]\nnear = { a = ['b', 'b'] }",
+            ["zones.near.a: the list names a zone twice"],
         ),
-        ("[zones]\nnear = { a = ['a'] }", ["zones.near.a: names itself"]),
-        ("[zones]\nnear = { a = ['b', 'b'] }", ["zones.near.a: names a zone twice"]),
         ("[zones", ["not TOML"]),
     ],
 )
