--- a/loadbalancer/node/discovery/__init__.py
+++ b/loadbalancer/node/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The node's side towards discovery, which tells it the endpoint list."""
+"""The client of the discovery agent, from which the node receives the endpoint list."""
--- a/loadbalancer/node/discovery/call.py
+++ b/loadbalancer/node/discovery/call.py
@@ -1,4 +1,4 @@
-"""One connection to discovery, with one call at a time."""
+"""An HTTP connection to the discovery agent that carries one call at a time."""
 
 from __future__ import annotations
 
@@ -9,22 +9,37 @@
 
 import httptools
 
-SILENCE_S = 0.3  # a call is late once it owes bytes and has brought none for so long
-ANSWER_TIMEOUT_S = 2.0  # so is one whose answer comes byte by byte, after so long
-MAX_CALLS = 5  # of the watch at a time: descriptors are set aside for them
-LATE_CALL_LIFETIME_S = MAX_CALLS * SILENCE_S  # since the last byte of a late call
-MIN_LATE_RATE = 200_000  # bytes per second that a late answer has to bring
-MAX_ANSWER_BYTES = 20 << 20  # a list of 100,000 servers
+# A call is late once it owes bytes and has received none for this time.
+SILENCE_S = 0.3
+# A call is also late if its answer is incomplete after this time, as when it arrives byte by byte.
+ANSWER_TIMEOUT_S = 2.0
+MAX_CALLS = 5  # of the watch at a time; their descriptors are set aside
+# A late call is ended after this time without a byte.
+LATE_CALL_LIFETIME_S = MAX_CALLS * SILENCE_S
+MIN_LATE_RATE = 200_000  # bytes per second at which a late answer has to arrive
+MAX_ANSWER_BYTES = 20 << 20  # enough for a list of 100,000 servers
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One connection to discovery, with one call at a time.
+    """An HTTP connection to the discovery agent that carries one call at a time.
 
     Args:
-        loop: The loop that it runs on.
-        address: Host and port of the agent of discovery.
-        on_answer: Gets the body of each answer, and None once at the connection's end.
-        on_late: Hears of a call that is late, again and again as long as it is.
+        loop: The event loop.
+        address: Host and port of the discovery agent.
+        on_answer: Called with the body of each answer, and once with None when the connection ends.
+        on_late: Called repeatedly, every SILENCE_S seconds, while a call is late.
+
+    Attributes:
+        ended: The call and its connection have ended.
+        closed_by_answer: The last answer closed the connection; a further call opens a new one.
+        late: The call in progress is late.
+        started_at: Loop time of the call's start in seconds.
+        wait_s: Seconds that the agent may wait before it answers.
+        since_version: Version of the endpoint list in use when the call was made.
+        answers_applied: Number of answers that the client had applied when the call was made.
+        transport: The connection; None while there is none.
+        timer: The next check for silence.
+        task: The task that opens the connection.
     """
 
     def __init__(
@@ -40,16 +55,21 @@
         self.on_late = on_late
         self.transport: asyncio.Transport | None = None
         self.ended = False
-        self.closed_by_answer = False  # no further call on this connection
+        self.closed_by_answer = False
         self.headers_complete = self.has_length = self.complete = self.late = False
         self.started_at = self.wait_s = 0.0
-        self.since_version: int | None = None  # the version in hand when it was made
-        self.answers_applied = 0  # by the client, when it was made
+        self.since_version: int | None = None
+        self.answers_applied = 0
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
     def request(self, path: str, wait_s: float) -> None:
-        """Makes a call that may wait `wait_s` seconds, and from then on owes bytes."""
+        """Sends a GET request for `path`.
+
+        Args:
+            path: Path and query of the request.
+            wait_s: Seconds that the agent may wait before it answers; after them the call owes bytes.
+        """
         host = f"{self.address[0]}:{self.address[1]}"
         self.request_bytes = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
         self.parser = httptools.HttpResponseParser(self)
@@ -72,7 +92,7 @@
             self.fail()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the request, unless the call has ended meanwhile."""
+        """Sends the request, unless the call has ended in the meantime."""
         self.transport = cast(asyncio.Transport, transport)
         if self.ended:
             self.close_connection()
@@ -80,20 +100,20 @@
             self.transport.write(self.request_bytes)
 
     def schedule_check(self, delay_s: float) -> None:
-        """Checks for silence in so many seconds."""
+        """Schedules the check for silence in `delay_s` seconds."""
         self.cancel_timer()
         self.timer = self.loop.call_later(delay_s, self.check_silence)
 
     def cancel_timer(self) -> None:
-        """No check is due any more."""
+        """Cancels the scheduled check for silence."""
         if self.timer is not None:
             self.timer.cancel()
 
     def check_silence(self) -> None:
-        """Finds the call late, and ends it some time after that.
+        """Detects that the call is late, and ends it after a further time.
 
-        This is the one clock of silence. A list that takes long to come is waited for while it brings
-        enough bytes; one that stops half-way, or comes byte by byte, is not.
+        This is the only timeout of a call. A long list is awaited while it arrives at MIN_LATE_RATE or
+        faster; one that stops half-way or arrives byte by byte is not.
         """
         now = self.loop.time()
         due = min(self.last_byte_at + SILENCE_S, self.late_at)
@@ -111,7 +131,7 @@
             self.on_late(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what has come; bytes that no request asked for end the call."""
+        """Parses received bytes; bytes after a complete answer end the call."""
         if self.ended:
             return
         self.last_byte_at = self.loop.time()
@@ -127,15 +147,15 @@
             self.finish(self.keep_alive)
 
     def eof_received(self) -> None:
-        """An answer without a length ends with its connection; a reset is no end."""
+        """Completes an answer that has no length: it ends with its connection, unless by a reset."""
         unfinished = self.headers_complete and not self.complete and not self.ended
         if unfinished and not self.has_length:
             self.complete = True
             self.finish(False)
 
     def finish(self, keep_alive: bool) -> None:
-        """Hands on a complete answer."""
-        self.cancel_timer()  # however long the list takes to read
+        """Delivers a complete answer; a status other than 200 ends the call."""
+        self.cancel_timer()  # the time that the list takes to read does not count
         if self.parser.get_status_code() != HTTPStatus.OK:
             self.fail()
             return
@@ -145,47 +165,47 @@
         self.on_answer(self, self.body)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Notes whether the answer says where it ends."""
+        """Records whether the answer's headers determine where its body ends."""
         self.has_length = self.has_length or name.lower() in (
             b"content-length",
             b"transfer-encoding",
         )
 
     def on_headers_complete(self) -> None:
-        """The head has come."""
+        """Records that the headers have been received."""
         self.headers_complete = True
 
     def on_body(self, body: bytes) -> None:
-        """Gathers the body, up to the first piece beyond the bound."""
+        """Appends to the body, up to the first piece that exceeds MAX_ANSWER_BYTES."""
         if len(self.body) <= MAX_ANSWER_BYTES:
             self.body += body
 
     def on_message_complete(self) -> None:
-        """The answer has come."""
+        """Records that the answer is complete and whether the connection stays open."""
         self.complete = True
-        # Known here only: the parser then starts afresh.
+        # Only available here, because the parser is reset afterwards.
         self.keep_alive = self.parser.should_keep_alive()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The other side has closed, or the connection broke."""
+        """Fails the call after the agent has closed the connection or the connection has broken."""
         if self.transport is not None:
             self.transport = None
             self.fail()
 
     def close_connection(self) -> None:
-        """Closes the connection; a further call opens a new one."""
+        """Closes the connection; the next call opens a new one."""
         transport, self.transport = self.transport, None
         if transport is not None:
             transport.abort()
 
     def fail(self) -> None:
-        """Ends the call and says that there is no answer."""
+        """Ends the call and reports that it has no answer."""
         if not self.ended:
             self.end()
             self.on_answer(self, None)
 
     def end(self) -> None:
-        """Ends the call; nothing more is heard of it."""
+        """Ends the call and closes its connection; no callback follows."""
         self.ended = True
         self.cancel_timer()
         if self.task is not None:
--- a/loadbalancer/node/discovery/client.py
+++ b/loadbalancer/node/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: a watch that is renewed with each answer, polls, and fetches of the whole list."""
+"""The discovery client: a watch that is renewed with each answer, polls, and fetches of the full list."""
 
 from __future__ import annotations
 
@@ -21,41 +21,57 @@
 from loadbalancer.node.log import Log
 
 ENDPOINTS_PATH = "/v1/endpoints"
-WATCH_WAIT_MS = 1_000  # short: the agent is on this machine and empty answers are free
-RETRY_INTERVAL_S = 0.1  # between two new calls that fail, or are answered, at once
-AGENT_ANSWER_S = 0.3  # in which an agent that can be reached has answered
-STARTUP_WAIT_S = 1.0  # for the agent's first answer; then the list from the start holds
-STARTUP_WAIT_LIST_S = 5.0  # the same while a list is coming or being read
-POLL_INTERVAL_S = 0.3  # on average, of an agent whose list looks old
+# Long-poll time of the watch. It is short, since the agent is on this machine and empty answers cost little.
+WATCH_WAIT_MS = 1_000
+# Between two calls where the first one fails or is answered immediately
+RETRY_INTERVAL_S = 0.1
+AGENT_ANSWER_S = 0.3  # within which a reachable agent answers
+# For the agent's first answer; after that the list from the configuration file counts as current.
+STARTUP_WAIT_S = 1.0
+STARTUP_WAIT_LIST_S = 5.0  # the same while a list is being received or read
+POLL_INTERVAL_S = 0.3  # average interval of polls while the list seems outdated
 
 
 def propagation_bound_s(wait_s: float = WATCH_WAIT_MS / 1000) -> float:
-    """The longest time from a change that discovery has to the list in hand, in seconds.
+    """Returns the longest time in seconds from a change at the agent to its arrival in the node's list.
 
-    The newest call that is out may wait `wait_s` seconds (0: none may, as after a move). Then it is late,
-    for its silence or for the time that its answer takes, and a new one goes out; one that fails is followed
-    by a new one after RETRY_INTERVAL_S; and a new one is answered within AGENT_ANSWER_S. There is no backoff,
-    so what failed before adds nothing. A list beyond LONG_ANSWER_BYTES takes its time to come and to be read
-    besides.
+    The newest open call may wait `wait_s` seconds. Then it is late, because it is silent or because its
+    answer takes too long, and a new call is made. A call that fails is followed by a new one after
+    RETRY_INTERVAL_S, and a new one is answered within AGENT_ANSWER_S. There is no backoff, so earlier
+    failures add nothing. The time to receive and read a list beyond LONG_ANSWER_BYTES is not included.
+
+    Args:
+        wait_s: Seconds that a call may wait; 0: no open call may wait, as after a move to another agent.
     """
     return wait_s + max(SILENCE_S, ANSWER_TIMEOUT_S) + RETRY_INTERVAL_S + AGENT_ANSWER_S
 
 
 class DiscoveryClient:
-    """Keeps the endpoint list up to date.
+    """Keeps the endpoint list current.
 
-    The watch is a call that is renewed with each answer. Once it is late, a new call goes out on a connection
-    of its own, then the next, with no backoff: the agent is on this machine. The older ones are still heard
-    for a while, since an agent may be slow, or may answer what it held back once it returns. The first usable
-    answer makes its call the watch, and ends the others. `propagation_bound_s` derives how long that takes.
+    The watch is a call that is renewed with each answer. Once it is late, a new call is made on a connection
+    of its own, then the next, without backoff, since the agent is on this machine. Answers to the older calls
+    are accepted for a while, because an agent may be slow, or may send delayed answers once it recovers. The
+    first usable answer makes its call the watch and ends the others. `propagation_bound_s` derives how long
+    this takes.
 
     Args:
-        loop: The loop that it runs on.
-        address: Host and port of the agent of discovery.
-        version: Version of the list in hand; None: nothing has been heard from this address, and the watch
-            begins with the whole list.
-        on_list: Gets each list before the watch is renewed, and None for a call that brought nothing of use.
-        log: Where answers that cannot be used are named.
+        loop: The event loop.
+        address: Host and port of the discovery agent.
+        version: Version of the list in use; None: nothing has been received from this address, and the watch
+            starts with the full list.
+        on_list: Called with each list before the watch is renewed, and with None for a call without a usable
+            answer.
+        log: Receives the reasons why answers cannot be used.
+
+    Attributes:
+        calls: All open calls, the newest last.
+        watch_call: The newest call of the watch.
+        fetch_call: The open call for the full list.
+        poll_call: The open poll.
+        last_connect_at: Loop time at which the watch last opened a connection, in seconds.
+        next_poll_at: Loop time before which no poll is made, in seconds.
+        first_request_at: Loop time of the first request to any address, in seconds.
     """
 
     def __init__(
@@ -71,17 +87,17 @@
         self.reader = EndpointListReader(loop, version, on_list, log)
         self.watch_enabled = False
         self.stopped = False
-        self.calls: list[DiscoveryCall] = []  # all that are out, the newest last
-        self.watch_call: DiscoveryCall | None = None  # the newest of the watch's
+        self.calls: list[DiscoveryCall] = []
+        self.watch_call: DiscoveryCall | None = None
         self.fetch_call: DiscoveryCall | None = None
         self.poll_call: DiscoveryCall | None = None
-        self.last_connect_at = -inf  # of the watch
+        self.last_connect_at = -inf
         self.retry_timer: asyncio.TimerHandle | None = None
         self.next_poll_at = 0.0
-        self.first_request_at: float | None = None  # to any address
+        self.first_request_at: float | None = None
 
     def watch(self, enabled: bool) -> None:
-        """Begins or ends the watch. One that is on already stays."""
+        """Starts or stops the watch; no effect if it is in that state already."""
         if self.stopped or enabled == self.watch_enabled:
             return
         self.watch_enabled = enabled
@@ -93,9 +109,9 @@
         self.open_watch()
 
     def move_to(self, address: tuple[str, int]) -> None:
-        """Asks at another address from now on; whatever the old one may still say is not heard.
+        """Switches to the agent at another address; later answers of the old one are ignored.
 
-        Versions are numbered otherwise there: the watch begins with the whole list.
+        The new agent may number versions differently, so the watch starts with the full list.
         """
         self.end_all_calls()
         self.reader.reset()
@@ -105,36 +121,41 @@
             self.open_watch()
 
     def is_settled(self) -> bool:
-        """Whether the list in hand is what the agent has, or the wait for it at the start is over.
+        """Returns whether the list is the agent's, or the time to wait for it at the start has passed.
 
-        Until then the list may be the one of the process's last end, and name servers that have drained.
+        Until then the list may date from the end of the previous process and name servers that have drained.
         """
         if self.reader.answered and not self.reader.tasks:
             return True
         if self.first_request_at is None:
             return False
-        coming = self.reader.tasks or any(call.body for call in self.calls)
+        receiving = self.reader.tasks or any(call.body for call in self.calls)
         waited_s = self.loop.time() - self.first_request_at
-        return waited_s >= (STARTUP_WAIT_LIST_S if coming else STARTUP_WAIT_S)
+        return waited_s >= (STARTUP_WAIT_LIST_S if receiving else STARTUP_WAIT_S)
 
     # ---- the watch ------------------------------------------------------------------------------------
 
     def open_call(
         self, on_answer: Callable[[DiscoveryCall, bytearray | None], None]
     ) -> DiscoveryCall:
-        """A call that counts among those that are out; it asks nothing yet."""
+        """Returns a new open call, which has not sent a request yet."""
         call = DiscoveryCall(self.loop, self.address, on_answer, self.on_late)
         self.calls.append(call)
         return call
 
     def end_call(self, call: DiscoveryCall) -> None:
-        """Ends a call; nothing more is heard of it."""
+        """Ends a call; its answer is ignored from now on."""
         call.end()
         if call in self.calls:
             self.calls.remove(call)
 
     def request_changes(self, call: DiscoveryCall, wait_ms: int) -> None:
-        """Asks what is newer than the list in hand; the whole list if there is none from this address."""
+        """Requests what is newer than the list in use, or the full list if this address has sent none.
+
+        Args:
+            call: The call that carries the request.
+            wait_ms: Milliseconds that the agent may wait for a change.
+        """
         version = self.reader.version
         call.since_version = version
         call.answers_applied = self.reader.answers_applied
@@ -145,7 +166,11 @@
             call.request(path, wait_ms / 1000)
 
     def open_watch(self, wait_ms: int = 0) -> None:
-        """Asks on a new connection, beside the calls that are late."""
+        """Makes a call on a new connection, in addition to the calls that are late.
+
+        Args:
+            wait_ms: Milliseconds that the agent may wait for a change.
+        """
         self.last_connect_at = self.loop.time()
         if self.retry_timer is not None:
             self.retry_timer.cancel()
@@ -153,18 +178,18 @@
         others = (self.fetch_call, self.poll_call)
         watch_calls = [call for call in self.calls if call not in others]
         if len(watch_calls) >= MAX_CALLS:
-            stillest = min(watch_calls, key=lambda call: call.last_byte_at)
-            if stillest.last_byte_at + SILENCE_S > self.last_connect_at:
-                return  # each brings something; the newest checks again
-            self.end_call(stillest)
+            longest_silent = min(watch_calls, key=lambda call: call.last_byte_at)
+            if longest_silent.last_byte_at + SILENCE_S > self.last_connect_at:
+                return  # all of them receive bytes; the newest one checks again
+            self.end_call(longest_silent)
         self.watch_call = self.open_call(self.on_watch_answer)
         self.request_changes(self.watch_call, wait_ms)
 
     def reopen_watch(self) -> None:
-        """Opens the next call after the watch's newest has failed.
+        """Opens the next call after the newest call of the watch has failed.
 
-        At once, unless that one had just begun: an agent that closes idle connections is asked again without
-        delay, and one that refuses is not asked without a pause.
+        This happens immediately, unless that call was made less than RETRY_INTERVAL_S ago: an agent that
+        closes idle connections is called again without delay, and one that refuses connections with pauses.
         """
         if self.watch_enabled and self.retry_timer is None:
             retry_at = self.last_connect_at + RETRY_INTERVAL_S
@@ -172,7 +197,10 @@
             self.retry_timer = self.loop.call_later(delay_s, self.open_watch)
 
     def on_late(self, call: DiscoveryCall) -> None:
-        """A call is late. It is still heard."""
+        """Makes a new call of the watch, or ends a poll, after a call has become late.
+
+        An answer to a late call of the watch is still accepted.
+        """
         if call is self.watch_call:
             self.reader.report_failure()
             self.open_watch()
@@ -180,12 +208,12 @@
             self.on_poll_answer(call, None)
 
     def on_watch_answer(self, call: DiscoveryCall, body: bytearray | None) -> None:
-        """A call of the watch has brought an answer, or has failed."""
+        """Reads the answer to a call of the watch; None: the call has failed."""
         if body is None:
             self.on_watch_applied(call, False)
             return
         if len(body) > LONG_ANSWER_BYTES:
-            # Otherwise a slow agent brings a long list once for each call, and each is read.
+            # Otherwise a slow agent sends a long list for each of the calls, and each of them is read.
             self.promote(call)
         self.reader.read(
             body,
@@ -194,9 +222,9 @@
         )
 
     def on_watch_applied(self, call: DiscoveryCall, usable: bool) -> None:
-        """The watch's answer has been delivered, or cannot be used."""
+        """Continues the watch after a usable answer, or replaces a call whose answer cannot be used."""
         if call not in self.calls:
-            return  # another one has been heard, or another address is asked
+            return  # another call has become the watch, or the address has changed
         if usable:
             self.continue_watch(call)
             return
@@ -207,9 +235,9 @@
             self.reader.report_failure()
 
     def promote(self, call: DiscoveryCall) -> None:
-        """Makes a call the watch and ends those beside it.
+        """Makes a call the watch and ends all others except a fetch.
 
-        A poll that becomes the watch must not be ended like a poll at its next answer.
+        A poll that becomes the watch must not be ended as a poll at its next answer.
         """
         for other in list(self.calls):
             if other not in (call, self.fetch_call):
@@ -218,9 +246,9 @@
         call.on_answer = self.on_watch_answer
 
     def continue_watch(self, call: DiscoveryCall) -> None:
-        """Goes on with this call's connection; no other is waited for."""
+        """Makes the next request of the watch on this call's connection, and ends the other calls."""
         self.promote(call)
-        # An agent that does not wait is not asked as fast as it answers.
+        # An agent that answers without waiting must not be called as fast as it answers.
         answered_early = (
             call.wait_s > 0
             and self.reader.version == call.since_version
@@ -243,10 +271,10 @@
     # ---- other calls ----------------------------------------------------------------------------------
 
     def poll_if_due(self) -> None:
-        """Asks at once whether the list has changed, at most once per POLL_INTERVAL_S on average.
+        """Asks the agent whether the list has changed, at most once per POLL_INTERVAL_S on average.
 
-        Called when a listed server turned a call away or was not there. If the list has changed, the watch
-        ought to have told: it is broken, and begins anew with this call.
+        Called when a listed server has rejected a call or could not be reached. If the list has changed, the
+        watch should have reported it: it is broken, and starts again with this call.
         """
         now = self.loop.time()
         if (
@@ -261,11 +289,11 @@
         self.request_changes(self.poll_call, 0)
 
     def on_poll_answer(self, call: DiscoveryCall, body: bytearray | None) -> None:
-        """A poll has brought an answer, or has failed."""
+        """Reads the answer to a poll; None: the poll has failed."""
         self.poll_call = None
         if body is None:
             self.end_call(call)
-            self.next_poll_at = 0.0  # a silent poll is broken as well
+            self.next_poll_at = 0.0  # the poll's connection is broken as well; the next poll need not wait
             return
         self.reader.read(
             body,
@@ -274,7 +302,7 @@
         )
 
     def on_poll_applied(self, call: DiscoveryCall, usable: bool) -> None:
-        """A poll's answer has been delivered, or cannot be used."""
+        """Makes a poll with news the watch, and ends any other one."""
         if call not in self.calls:
             return
         has_news = usable and self.reader.version != call.since_version
@@ -284,14 +312,14 @@
             self.end_call(call)
 
     def fetch(self) -> None:
-        """Asks for the whole list, unless such a call is out already."""
+        """Requests the full list, unless such a call is open already."""
         if self.fetch_call is None and not self.stopped:
             self.fetch_call = self.open_call(self.on_fetch_answer)
             self.fetch_call.answers_applied = self.reader.answers_applied
             self.fetch_call.request(ENDPOINTS_PATH, 0.0)
 
     def on_fetch_answer(self, call: DiscoveryCall, body: bytearray | None) -> None:
-        """The whole list has come, or could not be had."""
+        """Reads the full list; None: the call has failed."""
         self.fetch_call = None
         self.end_call(call)
         if body is None:
@@ -305,7 +333,7 @@
         self.reader.read(body, applied, call.answers_applied)
 
     def end_all_calls(self) -> None:
-        """Ends all calls and the timer of the next one."""
+        """Ends all calls and cancels the timer of the next one."""
         for call in self.calls:
             call.end()
         self.calls.clear()
@@ -315,7 +343,7 @@
             self.retry_timer = None
 
     def stop(self) -> None:
-        """Ends all calls for good; nothing is asked any more."""
+        """Ends all calls permanently; no further request is made."""
         self.stopped, self.watch_enabled = True, False
         self.end_all_calls()
         self.reader.cancel()
--- a/loadbalancer/node/discovery/endpoint_list_codec.py
+++ b/loadbalancer/node/discovery/endpoint_list_codec.py
@@ -1,4 +1,4 @@
-"""Discovery's form of the server list, read and checked."""
+"""Decodes and validates the endpoint list in discovery's JSON format."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from itertools import islice
-from json.decoder import WHITESPACE  # type: ignore[attr-defined]  # json's own pattern for what it skips
+from json.decoder import WHITESPACE  # type: ignore[attr-defined]  # the whitespace that json skips
 from typing import Any, ClassVar
 
 import msgspec
@@ -20,10 +20,10 @@
 from loadbalancer.errors import LoadBalancerError
 from loadbalancer.policy.api import EndpointState, ListUpdateKind
 
-# Exact, however large: a version that is rounded asks for what is newer than one that there was not.
+# Integers of any size stay exact: a rounded version would request the changes since one that never existed.
 Version = int | Number
-DECODER = json.JSONDecoder()
-STATES = {
+JSON_DECODER = json.JSONDecoder()
+STATE_BY_NAME = {
     "ready": EndpointState.READY,
     "draining": EndpointState.DRAINING,
     "gone": EndpointState.GONE,
@@ -31,24 +31,36 @@
 
 
 class ListError(LoadBalancerError, ValueError):
-    """A server list with a line or a head that cannot be used; the list in hand stays whole."""
+    """An endpoint list has an invalid entry or header; the list in use stays unchanged."""
 
     remedy: ClassVar[str] = (
-        "mend that entry where discovery has it from; the list in hand holds until then"
+        "fix that entry at the source of discovery's data; the list in use stays in force until then"
     )
 
 
 class ListMalformed(ListError):
-    """An answer of discovery that is no server list at all."""
+    """An answer of discovery is not an endpoint list."""
 
     remedy: ClassVar[str] = (
-        "check that an agent listens at the address of discovery, and what it answers"
+        "check that a discovery agent listens at the configured address, and what it answers"
     )
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One server as discovery names it."""
+    """One entry of the endpoint list.
+
+    Attributes:
+        id: The server's name.
+        host: Host of its address.
+        port: Port of its address.
+        zone: Name of its zone; may be empty.
+        kind: Name of its kind; may be empty.
+        cell: Number of its cell.
+        state: Whether it accepts calls.
+        weight: Its weight; 1 if discovery sends none.
+        started: Unix time of its start in microseconds; 0: long ago.
+    """
 
     id: str
     host: str
@@ -58,12 +70,18 @@
     cell: int
     state: EndpointState
     weight: float
-    started: int  # microseconds of Unix time; 0 = long ago
+    started: int
 
 
 @dataclass(frozen=True)
 class Listing:
-    """A list or its changes, with the version they lead to."""
+    """A full endpoint list, a part of one, or changes to one.
+
+    Attributes:
+        kind: Whether it is a full list or changes.
+        version: Version of the list after the update.
+        lines: The entries.
+    """
 
     kind: ListUpdateKind
     version: int
@@ -71,7 +89,7 @@
 
 
 class Entry(Form, frozen=True):
-    """A server's line as discovery writes it."""
+    """An entry of the list as discovery sends it; `Line` describes the keys."""
 
     id: str
     addr: str
@@ -84,25 +102,30 @@
 
 
 class Table(Form, frozen=True):
-    """A whole answer."""
+    """An answer of discovery: the list's version, its entries and whether it is a full list."""
 
     version: Version
     servers: list[Entry]
     full: bool | None = None
 
 
-TABLES = msgspec.json.Decoder(Table)
+TABLE_DECODER = msgspec.json.Decoder(Table)
 
 
 def decode(body: bytes | bytearray) -> Listing:
-    """The Listing in an answer's body; a ListError for anything else."""
+    """Decodes an answer's body.
+
+    Raises:
+        ListError: The body is not a valid list.
+    """
     try:
-        return listing_of(TABLES.decode(body))
+        return build_listing(TABLE_DECODER.decode(body))
     except msgspec.ValidationError as e:
-        raise wrong(e) from None
+        raise to_list_error(e) from None
     except (msgspec.DecodeError, RecursionError):
         pass
-    # Rare: a name that is half of a pair, NaN where nobody looks. Read as ever, since it is lawful here.
+    # Rarely, a body has half of a surrogate pair in a name, or NaN under an ignored key. Python's json
+    # accepts both, and so does this function.
     try:
         return read_listing(json.loads(body))
     except ListError:
@@ -111,49 +134,74 @@
         raise ListMalformed(f"not JSON: {e}", "list") from None
 
 
-def wrong(error: msgspec.ValidationError, path: str = "list") -> ListError:
-    """Msgspec's words as an error of ours; `path` is that of the table that was read."""
+def to_list_error(error: msgspec.ValidationError, path: str = "list") -> ListError:
+    """Converts a msgspec error to a ListError.
+
+    Args:
+        error: The error.
+        path: Path of the value that was converted.
+    """
     key, what = locate_error(error)
     return ListError(what, f"{path}.{key}") if key else ListMalformed(what, path)
 
 
 def read_listing(table: object, kind: ListUpdateKind | None = None) -> Listing:
-    """A Listing from decoded JSON, of the `kind` it states itself if none is value_or_default.
+    """Converts decoded JSON to a list.
+
+    Failure prevented: skipping one invalid entry of a full list would remove a running server. Any fault
+    rejects the entire list, and the list in use stays.
+
+    Args:
+        table: The decoded JSON.
+        kind: Kind of the list; None: the kind that it states itself.
 
-    Failure prevented: skipping one bad line of a full list would remove a server that runs. Anything
-    wrong is a ListError for the whole list, and the list in hand stays.
+    Raises:
+        ListError: The list is invalid.
     """
     try:
-        return listing_of(msgspec.convert(table, Table), kind)
+        return build_listing(msgspec.convert(table, Table), kind)
     except msgspec.ValidationError as e:
-        raise wrong(e) from None
+        raise to_list_error(e) from None
 
 
-def listing_of(table: Table, kind: ListUpdateKind | None = None) -> Listing:
-    """The Listing in an answer that has the form of one."""
+def build_listing(table: Table, kind: ListUpdateKind | None = None) -> Listing:
+    """Converts an answer whose types have been checked to a list.
+
+    Raises:
+        ListError: An address is invalid.
+    """
     if kind is None:
         kind = ListUpdateKind.FULL if table.full else ListUpdateKind.CHANGES
     return Listing(
         kind,
         int(table.version),
-        tuple(line_of(e, i) for i, e in enumerate(table.servers)),
+        tuple(build_line(e, i) for i, e in enumerate(table.servers)),
     )
 
 
 def read_line(value: object, number: int) -> Line:
-    """One server from decoded JSON; a ListError that names its place in the list."""
+    """Converts one entry of decoded JSON.
+
+    Raises:
+        ListError: The entry is invalid; the error names its position in the list.
+    """
     try:
-        return line_of(msgspec.convert(value, Entry), number)
+        return build_line(msgspec.convert(value, Entry), number)
     except msgspec.ValidationError as e:
-        raise wrong(e, f"list.servers[{number}]") from None
+        raise to_list_error(e, f"list.servers[{number}]") from None
+
 
+def build_line(entry: Entry, number: int) -> Line:
+    """Converts one entry. An unknown state counts as draining, so the server gets no new calls.
 
-def line_of(entry: Entry, number: int) -> Line:
-    """One server. A state that is not known counts as draining: nothing new goes there."""
+    Raises:
+        ListError: The address is invalid.
+    """
     host, _, port = entry.addr.rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         raise ListError(
-            "not an address of the form host:port", f"list.servers[{number}].addr"
+            "not an address of the form host:port with a port from 1 to 65535",
+            f"list.servers[{number}].addr",
         )
     return Line(
         id=entry.id,
@@ -162,62 +210,83 @@
         zone=entry.zone or "",
         kind=entry.kind or "",
         cell=int(entry.cell or 0),
-        state=STATES.get(entry.state, EndpointState.DRAINING),
+        state=STATE_BY_NAME.get(entry.state, EndpointState.DRAINING),
         weight=value_or_default(entry.weight, 1.0),
         started=int(entry.started_ms or 0) * 1000,
     )
 
 
-def members_of(text: str) -> Iterator[tuple[str, Any]]:
-    """The members of a JSON object one after the other, each with its key; of an array each of its entries.
+def iterate_members(text: str) -> Iterator[tuple[str, Any]]:
+    """Iterates over a JSON object's keys and values; a value that is an array yields each of its entries.
+
+    Only one value of a long text is decoded at a time.
 
-    So much of a long text is decoded at a time. A ListMalformed where it is not an object, or ends early.
+    Raises:
+        ListMalformed: The text is not a JSON object, or it is truncated.
+        ValueError: A value is not JSON.
     """
 
-    def skip(place: int) -> int:
-        return int(WHITESPACE.match(text, place).end())
-
-    def expect(place: int, signs: str) -> str:
-        sign = text[place : place + 1]
-        if not sign or sign not in signs:
-            raise ListMalformed(f"expected one of {signs} at character {place}", "list")
-        return sign
-
-    place = skip(0)
-    expect(place, "{")
-    place = skip(place + 1)
-    sign = "}" if text[place : place + 1] == "}" else ","
-    while sign == ",":
-        expect(place, '"')
-        key, place = DECODER.raw_decode(text, place)
-        place = skip(place)
-        expect(place, ":")
-        place = skip(place + 1)
-        if text[place : place + 1] != "[":
-            value, place = DECODER.raw_decode(text, place)
+    def skip(position: int) -> int:
+        return int(WHITESPACE.match(text, position).end())
+
+    def expect(position: int, expected: str) -> str:
+        character = text[position : position + 1]
+        if not character or character not in expected:
+            raise ListMalformed(
+                f"expected one of {expected} at character {position}", "list"
+            )
+        return character
+
+    position = skip(0)
+    expect(position, "{")
+    position = skip(position + 1)
+    character = "}" if text[position : position + 1] == "}" else ","
+    while character == ",":
+        expect(position, '"')
+        key, position = JSON_DECODER.raw_decode(text, position)
+        position = skip(position)
+        expect(position, ":")
+        position = skip(position + 1)
+        if text[position : position + 1] != "[":
+            value, position = JSON_DECODER.raw_decode(text, position)
             yield key, value
         else:
-            place = skip(place + 1)
-            mark = "]" if text[place : place + 1] == "]" else ","
-            while mark == ",":
-                value, place = DECODER.raw_decode(text, place)
+            position = skip(position + 1)
+            separator = "]" if text[position : position + 1] == "]" else ","
+            while separator == ",":
+                value, position = JSON_DECODER.raw_decode(text, position)
                 yield key, value
-                place = skip(place)
-                mark = expect(place, ",]")
-                place = skip(place + 1) if mark == "," else place
-            place += 1
-        place = skip(place)
-        sign = expect(place, ",}")
-        place = skip(place + 1)
-    if place < len(text) and sign != "}":
-        raise ListMalformed(f"more text at character {place}", "list")
+                position = skip(position)
+                separator = expect(position, ",]")
+                position = skip(position + 1) if separator == "," else position
+            position += 1
+        position = skip(position)
+        character = expect(position, ",}")
+        position = skip(position + 1)
+    if position < len(text) and character != "}":
+        raise ListMalformed(
+            f"unexpected text after the list at character {position}", "list"
+        )
 
 
 class LongListing:
-    """A list that is too long to be read in one go. `check` reads all of it, `parts` hands it out.
+    """A list that is too long to be decoded at once; `check` validates all of it, `parts` returns it.
 
-    Failure prevented: while a list of tens of thousands is decoded and checked, no request is served; and
-    all its lines together are several times as large as its text. It is read twice, a part at a time.
+    Failure prevented: while a list of tens of thousands of servers is decoded and validated, no request is
+    served; and all its decoded entries together are several times as large as its text. The text is therefore
+    read twice, one part at a time.
+
+    Args:
+        body: The answer's body.
+
+    Attributes:
+        text: The decoded body.
+        kind: Whether it is a full list or changes; valid after `check`.
+        version: The list's version; valid after `check`.
+        count: Number of entries; valid after `check`.
+
+    Raises:
+        ListMalformed: The body is not UTF-8.
     """
 
     def __init__(self, body: bytes | bytearray) -> None:
@@ -230,7 +299,11 @@
         self.count = 0
 
     def check(self, size: int) -> Iterator[None]:
-        """Reads the whole list, `size` lines for each step. A ListError at anything that is wrong."""
+        """Reads the whole list, `size` entries per step.
+
+        Raises:
+            ListError: The list is invalid.
+        """
         try:
             yield from self.steps(size)
         except ListError:
@@ -239,8 +312,9 @@
             raise ListMalformed(f"not JSON: {e}", "list") from None
 
     def steps(self, size: int) -> Iterator[None]:
+        """Validates the list like `check`, but passes on the errors of the JSON decoder."""
         head: dict[str, Any] = {"servers": []}
-        for key, value in members_of(self.text):
+        for key, value in iterate_members(self.text):
             if key != "servers":
                 head[key] = value
                 continue
@@ -252,8 +326,10 @@
         self.kind, self.version = listing.kind, listing.version
 
     def parts(self, size: int) -> Iterator[Listing]:
-        """The list as listings of `size` lines, in order; at least one."""
-        entries = (value for key, value in members_of(self.text) if key == "servers")
+        """Iterates over the list in parts of `size` entries, in order; there is at least one part."""
+        entries = (
+            value for key, value in iterate_members(self.text) if key == "servers"
+        )
         lines = (read_line(value, number) for number, value in enumerate(entries))
         for _ in range(max(1, -(-self.count // size))):
             yield Listing(self.kind, self.version, tuple(islice(lines, size)))
--- a/loadbalancer/node/discovery/endpoint_list_reader.py
+++ b/loadbalancer/node/discovery/endpoint_list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the answers of discovery: which of them are news, and long ones part by part."""
+"""Reads the answers of discovery: detects which of them are news, and reads long ones in parts."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from loadbalancer.node.log import Log
 from loadbalancer.policy.api import ListUpdateKind
 
-LONG_ANSWER_BYTES = 64 << 10  # beyond this an answer is read in parts
-PART_SIZE = 50  # servers in a part: a millisecond or two of work
+LONG_ANSWER_BYTES = 64 << 10  # a larger answer is read in parts
+PART_SIZE = 50  # servers in a part, which take one or two milliseconds to read
 
-# Gets an update and whether more of the same list is to come; None for a call without a usable answer.
+# Called with an update and whether more parts of the same list follow; None: a call had no usable answer.
 OnList = Callable[[Listing | None, bool], None]
 
 
@@ -26,10 +26,20 @@
     """Reads answers and delivers those that are news.
 
     Args:
-        loop: The loop on which long lists are read.
-        version: Version of the list in hand; None if there is none from this address.
-        on_list: Gets what is delivered.
-        log: Where answers that cannot be used are named.
+        loop: The event loop, on which long lists are read.
+        version: Version of the list in use; None if this address has sent none.
+        on_list: Called with each update.
+        log: Receives the reasons why answers cannot be used.
+
+    Attributes:
+        answered: At least one answer has been applied, from any address.
+        answers_applied: Number of answers that have been applied.
+        failures: Number of consecutive calls without a usable answer.
+        partial_list: Some, but not all, parts of a full list have been delivered.
+        tasks: The tasks that read long lists.
+        lock: Held while a long list is read.
+        dropped_answers: Number of consecutive answers that could not be used.
+        drop_reason: Why the last of them could not be used.
     """
 
     def __init__(
@@ -43,28 +53,28 @@
         self.version = version
         self.on_list = on_list
         self.log = log
-        self.answered = False  # at least once, at any address
+        self.answered = False
         self.answers_applied = 0
-        self.failures = 0  # calls in a row that brought nothing of use
-        self.partial_list = False  # a part of a whole list has been delivered, not all
-        self.tasks: set[asyncio.Task[None]] = set()  # that read long lists
-        self.lock = asyncio.Lock()  # held while a long list is read
-        self.dropped_answers = 0  # in a row, since they could not be used
-        self.drop_reason = ""  # of the last of them
+        self.failures = 0
+        self.partial_list = False
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.lock = asyncio.Lock()
+        self.dropped_answers = 0
+        self.drop_reason = ""
 
     def reset(self) -> None:
-        """Forgets the version in hand: another address is asked, which numbers otherwise."""
+        """Discards the version in use, because a new address numbers versions differently."""
         self.cancel()
         self.version = None
         self.failures = 0
 
     def cancel(self) -> None:
-        """Ends the reading of long lists."""
+        """Cancels the reading of long lists."""
         for task in self.tasks:
             task.cancel()
 
     def report_failure(self) -> None:
-        """Says that a call brought nothing of use."""
+        """Reports that a call had no usable answer."""
         self.failures += 1
         self.on_list(None, False)
 
@@ -74,13 +84,13 @@
         on_applied: Callable[[bool], None],
         answers_applied: int | None = None,
     ) -> None:
-        """Delivers what an answer says. A long one is delivered part by part.
+        """Reads an answer and delivers its update, a long one in parts.
 
         Args:
             body: The answer's body.
-            on_applied: Hears whether the answer could be used.
-            answers_applied: How many answers had been applied when it was asked for; None: all that have
-                been until now.
+            on_applied: Called with whether the answer could be used.
+            answers_applied: Number of answers that had been applied when the request was made; None: all that
+                have been applied so far.
         """
         if answers_applied is None:
             answers_applied = self.answers_applied
@@ -90,11 +100,11 @@
             if update is None:
                 on_applied(False)
                 return
-            # A whole list waits for one that is being read: the rest of that one would be taken for a list
-            # by itself.
+            # A full list waits for one that is being read. Otherwise the remaining parts of that one would be
+            # taken for a list of their own.
             if update.kind == ListUpdateKind.CHANGES or not self.lock.locked():
                 news = self.advance_version(update, answers_applied)
-                # An empty answer is no news, but for the first after a failure.
+                # An empty answer is not delivered, except for the first one after a failure.
                 if news and (update.lines or failures or self.version != before):
                     self.deliver(update)
                 on_applied(news is not None)
@@ -106,17 +116,18 @@
     def deliver(self, update: Listing) -> None:
         """Delivers an update that is complete in itself.
 
-        If another whole list was cut short, by a move, then twice: the first time ends that one, with all
-        that it had named, and the second leaves out what this one does.
+        A full list is delivered twice if a move to another address interrupted the delivery of the previous
+        one. The first delivery ends that list, with the servers that it had named; the second removes those
+        that this list does not name.
         """
-        is_whole = update.kind != ListUpdateKind.CHANGES
-        if is_whole and self.partial_list:
+        is_full = update.kind != ListUpdateKind.CHANGES
+        if is_full and self.partial_list:
             self.on_list(update, False)
-        self.partial_list = self.partial_list and not is_whole
+        self.partial_list = self.partial_list and not is_full
         self.on_list(update, False)
 
     def decode_short(self, body: bytearray) -> Listing | None:
-        """An answer's update; None for one that cannot be read."""
+        """Decodes an answer; None if it is not a valid list."""
         try:
             return decode(body)
         except ListError as error:
@@ -126,21 +137,21 @@
     def advance_version(
         self, update: Listing | LongListing, answers_applied: int
     ) -> bool | None:
-        """Takes on an update's version.
+        """Adopts an update's version.
 
         Returns:
             Whether the update is news; None if it cannot be used.
         """
         is_changes = update.kind == ListUpdateKind.CHANGES
         if self.version is None and is_changes:
-            self.drop_answer("changes of a list that is not known")
+            self.drop_answer("changes received without a full list to apply them to")
             return None
         if self.version is not None and update.version < self.version:
             if answers_applied != self.answers_applied:
-                return False  # it was overtaken: it would bring drained servers back
+                return False  # it is older than an applied answer and would restore drained servers
             if is_changes:
-                # An agent that was restarted numbers from the beginning, and would be asked for ever what is
-                # newer than a number that it will not reach.
+                # A restarted agent counts versions from the beginning. It would be asked forever for changes
+                # since a version that it does not reach.
                 self.version = None
                 return False
         self.version = update.version
@@ -155,7 +166,7 @@
         return True
 
     def drop_answer(self, reason: str) -> None:
-        """Counts an answer that cannot be used, and names the reason once, not at each retry."""
+        """Counts an answer that cannot be used, and logs the reason once instead of at each retry."""
         self.dropped_answers += 1
         if reason != self.drop_reason:
             self.drop_reason = reason
@@ -167,37 +178,37 @@
         on_applied: Callable[[bool], None],
         answers_applied: int,
     ) -> None:
-        """Checks a long list, then delivers it part by part; between parts as much time is left to requests.
+        """Validates a long list, then delivers it in parts.
 
-        One at a time, in the order of their coming. A list that cannot be read changes nothing, and neither
-        does one that is out of date by then. Changes that come after it are delivered in between. A move ends
-        it.
+        After each part, requests get as much time as the part took. Long lists are read one at a time, in the
+        order of their arrival. A list that is invalid, or outdated once it has been read, changes nothing.
+        Changes that arrive later are delivered between its parts. A move to another address cancels it.
         """
         async with self.lock:
             try:
                 long_list = LongListing(bytes(body))
-                began = monotonic()
+                started_at = monotonic()
                 for _ in long_list.check(PART_SIZE):
-                    await asyncio.sleep(monotonic() - began)
-                    began = monotonic()
+                    await asyncio.sleep(monotonic() - started_at)
+                    started_at = monotonic()
             except ListError as error:
                 self.drop_answer(error.line())
                 on_applied(False)
                 return
             news = self.advance_version(long_list, answers_applied)
-            on_applied(news is not None)  # the watch goes on meanwhile
-            is_whole = long_list.kind != ListUpdateKind.CHANGES
-            deliveries = 2 if is_whole and self.partial_list else 1  # see `deliver`
+            on_applied(news is not None)  # the watch continues in the meantime
+            is_full = long_list.kind != ListUpdateKind.CHANGES
+            deliveries = 2 if is_full and self.partial_list else 1  # see `deliver`
             for _ in range(deliveries if news else 0):
-                await self.deliver_parts(long_list, is_whole)
+                await self.deliver_parts(long_list, is_full)
 
-    async def deliver_parts(self, long_list: LongListing, is_whole: bool) -> None:
-        """Delivers a long list once."""
+    async def deliver_parts(self, long_list: LongListing, is_full: bool) -> None:
+        """Delivers all parts of a long list once."""
         delivered = 0
         for part in long_list.parts(PART_SIZE):
-            began = monotonic()
+            started_at = monotonic()
             delivered += len(part.lines)
             more = delivered < long_list.count
-            self.partial_list = is_whole and more
+            self.partial_list = is_full and more
             self.on_list(part, more)
-            await asyncio.sleep(monotonic() - began)
+            await asyncio.sleep(monotonic() - started_at)
--- a/loadbalancer/node/discovery/endpoint_registry.py
+++ b/loadbalancer/node/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that the node knows: what each update of the list changes about them."""
+"""The node's endpoints, as updates of the endpoint list change them."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 
 class EndpointRegistry:
-    """Maps the list's names to numbers, and keeps the pool's endpoints as the list says.
+    """Maps the list's names to numbers, and keeps the pool's endpoints in line with the list.
 
-    A full list may come in parts, with changes between them.
+    A full list may arrive in parts, with changes between them.
 
     Args:
-        pool: The connections; has the endpoints by number.
+        pool: The connection pool, which holds the endpoints by number.
         zones: The zones' names, in the order of the settings.
         kinds: The kinds' names, in the order of the settings.
 
     Attributes:
-        zones: Numbers of the zones by name; those that the list names first are added.
-        kinds: The same of the kinds.
-        listed: The endpoints in the list, once there is one.
-        gathered: The same, also while the first one is still to be completed.
-        named: By the full list of which more is to come; None if there is none.
-        overtaken: By changes in the meantime, which are newer.
-        retired: Endpoints that have left and may still have attempts out.
+        zones: Numbers of the zones by name; a new name in the list gets the next number.
+        kinds: Numbers of the kinds by name; likewise.
+        listed: The endpoints in the list; None until a list is complete.
+        received: The endpoints in the list so far, also while the first list is incomplete.
+        named: The endpoints in the received parts of an incomplete full list; None if there is none.
+        superseded: Endpoints that changes have updated since the first of these parts; the changes are newer.
+        retired: Endpoints that have left and may still have attempts in flight.
     """
 
     def __init__(
@@ -42,72 +42,72 @@
         self.zones = {name: number for number, name in enumerate(zones)}
         self.kinds = {name: number for number, name in enumerate(kinds)}
         self.listed: set[int] | None = None
-        self.gathered: set[int] = set()
+        self.received: set[int] = set()
         self.named: set[int] | None = None
-        self.overtaken: set[int] = set()
+        self.superseded: set[int] = set()
         self.retired: set[int] = set()
 
     def zone_number(self, name: str) -> int:
-        """The number that a zone has here."""
+        """Returns the number that this node uses for a zone."""
         return self.zones.setdefault(name, len(self.zones))
 
     def update(self, listing: Listing, more: bool) -> list[EndpointEntry]:
-        """Takes up an update of the list.
+        """Applies an update of the list.
 
         Args:
             listing: The update.
-            more: More of a long list is to come.
+            more: Whether more parts of a long list follow.
 
         Returns:
             The entries for the policy.
         """
-        # A server twice: the last line holds.
+        # If a server is listed twice, its last entry applies.
         latest = {number_of(line.id): line for line in listing.lines}
         is_full = listing.kind != ListUpdateKind.CHANGES
         if is_full:
             self._merge_full(latest)
         elif self.named is not None:
-            self.overtaken.update(latest)
+            self.superseded.update(latest)
         for number, line in latest.items():
-            self._place(number, line)
+            self._apply_line(number, line)
         for number, line in latest.items():
             if line.state == EndpointState.GONE:
-                self.gathered.discard(number)
+                self.received.discard(number)
             else:
-                self.gathered.add(number)
+                self.received.add(number)
         if is_full and not more:
             self._retire_unlisted()
         if not more:
-            self.listed = self.gathered
+            self.listed = self.received
         self._forget_retired()
         return [self._entry(number, line) for number, line in latest.items()]
 
     def _merge_full(self, latest: dict[int, Line]) -> None:
-        """Takes note of whom a full list, or a part of it, names; newer changes stand."""
+        """Records which endpoints a full list or a part of it names, and drops entries older than changes."""
         if self.named is None:
-            self.named, self.overtaken = set(), set()
-        for number in self.overtaken & latest.keys():
+            self.named, self.superseded = set(), set()
+        for number in self.superseded & latest.keys():
             del latest[number]
         self.named.update(latest)
 
     def _retire_unlisted(self) -> None:
-        """A full list is complete: whom it does not name has left."""
+        """Retires the endpoints that a complete full list does not name."""
         if self.named is None:
             return
-        for number in self.pool.endpoints.keys() - self.named - self.overtaken:
+        for number in self.pool.endpoints.keys() - self.named - self.superseded:
             self.retire(number)
-        self.gathered &= self.named | self.overtaken
+        self.received &= self.named | self.superseded
         self.named = None
 
     def retire(self, number: int) -> None:
-        """Nothing new goes to an endpoint; what is out may finish."""
+        """Stops new attempts to an endpoint; attempts in flight may finish."""
         endpoint = self.pool.endpoints.get(number)
         if endpoint is not None:
             endpoint.retire()
             self.retired.add(number)
 
     def _forget_retired(self) -> None:
-        """Drops the endpoints that have left and have nothing out, at the next update after."""
+        """Removes retired endpoints without attempts in flight; called at each update."""
         for number in list(self.retired):
             endpoint = self.pool.endpoints.get(number)
             if endpoint is None or endpoint.ready:
@@ -116,8 +116,8 @@
                 self.retired.discard(number)
                 del self.pool.endpoints[number]
 
-    def _place(self, number: int, line: Line) -> None:
-        """Takes note of an endpoint's address and state; connections to an old process are of no use."""
+    def _apply_line(self, number: int, line: Line) -> None:
+        """Applies an entry's address and state; connections to a previous process are not reused."""
         if line.state != EndpointState.READY:
             self.retire(number)
             return
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -16,7 +16,7 @@
     Listing,
     LongListing,
     decode,
-    members_of,
+    iterate_members,
 )
 from loadbalancer.node.discovery.endpoint_list_reader import EndpointListReader
 from loadbalancer.node.log import Log
@@ -149,10 +149,10 @@
         for key, value in table.items()
         for entry in (value if isinstance(value, list) else [value])
     ]
-    assert list(members_of(text)) == expected
+    assert list(iterate_members(text)) == expected
     cut = data.draw(st.integers(0, len(text) - 1))
     with pytest.raises(ValueError):
-        list(members_of(text[:cut]))
+        list(iterate_members(text[:cut]))
 
 
 def test_parts_hold_all_lines_in_order():
