--- a/loadbalancer/lab/scale/added_within.py
+++ b/loadbalancer/lab/scale/added_within.py
@@ -377,7 +377,7 @@
 
     loop.add_signal_handler(signal.SIGUSR1, begin, trial)
     loop.add_signal_handler(signal.SIGUSR2, rare)
-    await process.serve(load(os.environ), process.wishes(os.environ))
+    await process.serve(load(os.environ), process.load_operator_config(os.environ))
 
 
 def run_node(out: str, trial: str = "") -> None:
--- a/loadbalancer/lab/swarm/shell.py
+++ b/loadbalancer/lab/swarm/shell.py
@@ -512,7 +512,7 @@
         self.view = NodeLoop(loop, self.failed)
         self.loop = self.view
         self.log_lines = PlainLog(config.name)
-        self.origin = time_ns() - monotonic_ns()
+        self.clock_offset_ns = time_ns() - monotonic_ns()
         assert operation.membership is not None
         here = "{}:{}".format(*listen)
         self.operation = structs.replace(
@@ -608,7 +608,7 @@
 
     def now(self) -> int:
         """As of a node: Unix time at the start plus what has passed since, microseconds."""
-        return (self.origin + monotonic_ns()) // 1000
+        return (self.clock_offset_ns + monotonic_ns()) // 1000
 
     def post(self, event: Callable[..., None], *args: Any) -> None:
         event(self.now(), *args)
--- a/loadbalancer/node/__init__.py
+++ b/loadbalancer/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: hosts the policy on sockets, timers and signals."""
+"""The node: runs the load-balancing policy on sockets, timers and signals."""
--- a/loadbalancer/node/admin.py
+++ b/loadbalancer/node/admin.py
@@ -1,8 +1,8 @@
-"""The operators' listener: pages to read (GET) and commands that change something (POST).
+"""The admin listener for operators: pages (GET) and commands (POST).
 
-One request per connection. A page's path may be a command's as well. The arguments of a command stand in its
-query; a body is thrown away. The listener shares nothing with the clients' side but the event loop: its
-connections are few, their descriptors are set aside, and none of them may stay for long.
+Each connection carries one request. A page and a command may have the same path. A command's arguments are
+in its query; a request body is discarded. The listener shares only the event loop with the clients' side: the
+number of its connections is limited, their descriptors are set aside, and none may stay open for long.
 """
 
 from __future__ import annotations
@@ -19,33 +19,47 @@
 from loadbalancer.node.client.request import REASONS
 
 MAX_CONNECTIONS = 16
-# Set aside: those of the connections, the listener's, and those accepted to be told apart.
+# For the connections, the listener, and connections that are accepted before the oldest one is closed.
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 4
-REQUEST_TIMEOUT_S = 2.0  # for a request to come completely
-LINGER_S = 0.5  # in which the answer may be read
+REQUEST_TIMEOUT_S = 2.0  # to receive the complete request
+LINGER_S = 0.5  # from the response to the end of the connection
 MAX_REQUEST_BYTES = 8192
 MAX_ARGUMENTS = 32  # in a command's query
-BACKLOG = 64
+BACKLOG = 64  # connections that wait to be accepted
 
 Arguments = dict[str, str]
-Page = Callable[[], tuple[bool, dict[str, Any]]]  # whether all is well, and the table
-Command = Callable[[Arguments], tuple[int, dict[str, Any]]]  # status and table
+Page = Callable[
+    [], tuple[bool, dict[str, Any]]
+]  # whether the status is 200 or 503, and the JSON object
+Command = Callable[
+    [Arguments], tuple[int, dict[str, Any]]
+]  # HTTP status and JSON object
 
 
 class AdminConnection(asyncio.Protocol):
-    """One operator's connection."""
+    """One connection of an operator.
+
+    Args:
+        server: The listener that accepted it.
+
+    Attributes:
+        target: The request's target, as received so far.
+        size: Bytes of the request received so far.
+        answered: The response has been sent.
+        timer: Ends the wait for the request and, after the response, the connection.
+    """
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
-        self.size = 0  # bytes of the request until now
+        self.size = 0
         self.answered = False
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins the time for the request."""
+        """Registers the connection and starts the timeout for the request."""
         self.transport = cast(asyncio.Transport, transport)
         self.timer = self.server.loop.call_later(
             REQUEST_TIMEOUT_S, self.answer, HTTPStatus.REQUEST_TIMEOUT
@@ -53,7 +67,7 @@
         self.server.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what has come; what follows an answer is read and thrown away."""
+        """Parses received bytes; bytes after the response are discarded."""
         if self.answered:
             return
         self.size += len(data)
@@ -65,11 +79,11 @@
             self.answer(HTTPStatus.BAD_REQUEST)
 
     def on_url(self, url: bytes) -> None:
-        """Gathers the request's target."""
+        """Appends to the request's target."""
         self.target += url
 
     def on_message_complete(self) -> None:
-        """Answers the request. One page's failure does not end the listener."""
+        """Answers the request. An exception in a page or command becomes a 500 response."""
         try:
             self.dispatch()
         except LoadBalancerError as error:
@@ -79,7 +93,7 @@
             self.answer(HTTPStatus.INTERNAL_SERVER_ERROR, json.dumps(what).encode())
 
     def dispatch(self) -> None:
-        """Finds the page or the command and answers with what it gives."""
+        """Calls the page or command of the request's path and sends its result."""
         path, _, query = self.target.decode("latin-1").partition("?")
         page = self.server.pages.get(path)
         command = self.server.commands.get(path)
@@ -87,8 +101,8 @@
         if page is None and command is None:
             self.answer(HTTPStatus.NOT_FOUND)
         elif method == b"GET" and page is not None:
-            ok, table = page()
-            status = HTTPStatus.OK if ok else HTTPStatus.SERVICE_UNAVAILABLE
+            healthy, table = page()
+            status = HTTPStatus.OK if healthy else HTTPStatus.SERVICE_UNAVAILABLE
             self.answer(status, json.dumps(table).encode())
         elif method == b"POST" and command is not None:
             self.run(command, query)
@@ -101,7 +115,7 @@
             )
 
     def run(self, command: Command, query: str) -> None:
-        """Runs a command with the arguments of the query."""
+        """Runs a command with the arguments of the query; 400 if they cannot be parsed."""
         arguments = parse_arguments(query)
         if arguments is None:
             status: int = HTTPStatus.BAD_REQUEST
@@ -111,7 +125,13 @@
         self.answer(status, json.dumps(table).encode())
 
     def answer(self, status: int, body: bytes = b"", headers: bytes = b"") -> None:
-        """The one answer; then our end is closed, and the connection soon after."""
+        """Sends the response, unless there is one, and closes the connection after LINGER_S.
+
+        Args:
+            status: HTTP status.
+            body: JSON; may be empty.
+            headers: Further headers, each with its line break.
+        """
         if self.answered or self.transport.is_closing():
             return
         self.answered = True
@@ -126,17 +146,22 @@
         self.timer = self.server.loop.call_later(LINGER_S, self.transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, from either side."""
+        """Cancels the timer and removes the closed connection from the listener."""
         if self.timer is not None:
             self.timer.cancel()
         self.server.remove(self)
 
 
 def parse_arguments(query: str) -> Arguments | None:
-    """A query's arguments by name; None for one that cannot be read, or names one twice."""
+    """Parses a query string.
+
+    Returns:
+        The arguments by name; None if the query is malformed, has more than MAX_ARGUMENTS arguments or names
+        an argument twice.
+    """
     if not query:
         return {}
-    # Here: a node to which nobody posts does not need it.
+    # Imported here because a node that receives no commands does not need the module.
     from urllib.parse import parse_qsl
 
     try:
@@ -154,53 +179,58 @@
 
 
 class AdminServer:
-    """The listener and its connections.
+    """The admin listener and its connections.
 
     Args:
-        loop: The loop that it runs on.
-        pages: What answers a GET, by path.
+        loop: The event loop.
+        pages: Handlers of GET requests, by path.
+
+    Attributes:
+        commands: Handlers of POST requests, by path.
+        connections: The open connections, the oldest first.
+        server: The listening server, once it is started.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, pages: dict[str, Page]) -> None:
         self.loop = loop
         self.pages = pages
         self.commands: dict[str, Command] = {}
-        self.connections: dict[AdminConnection, None] = {}  # the oldest first
+        self.connections: dict[AdminConnection, None] = {}
         self.server: asyncio.Server | None = None
 
     async def start(self, address: tuple[str, int]) -> None:
-        """Binds and listens.
+        """Binds the address and starts to listen.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address cannot be bound.
         """
         self.server = await self.loop.create_server(
             lambda: AdminConnection(self), *address, backlog=BACKLOG
         )
 
     def set_page(self, path: str, page: Page | None) -> None:
-        """Answers GET of a path from now on, or no longer (None)."""
+        """Sets the handler of GET requests for a path; None removes it."""
         self.pages.pop(path, None)
         if page is not None:
             self.pages[path] = page
 
     def set_command(self, path: str, command: Command | None) -> None:
-        """Takes POST to a path from now on, or no longer (None)."""
+        """Sets the handler of POST requests for a path; None removes it."""
         self.commands.pop(path, None)
         if command is not None:
             self.commands[path] = command
 
     @property
     def port(self) -> int:
-        """The port that is bound."""
+        """The bound port."""
         assert self.server is not None
         port: int = self.server.sockets[0].getsockname()[1]
         return port
 
     def add(self, connection: AdminConnection) -> None:
-        """Takes a connection; beyond the bound the oldest makes way.
+        """Adds a connection; beyond MAX_CONNECTIONS the oldest one is closed.
 
-        So connections that finish no request cannot take all places.
+        This keeps connections that never complete a request from using up the limit.
         """
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
@@ -209,11 +239,11 @@
             oldest.transport.abort()
 
     def remove(self, connection: AdminConnection) -> None:
-        """Forgets a connection."""
+        """Removes a connection."""
         self.connections.pop(connection, None)
 
     def close(self) -> None:
-        """Ends the listener and all connections."""
+        """Closes the listener and all connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
--- a/loadbalancer/node/effective_settings.py
+++ b/loadbalancer/node/effective_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the policy goes by: the file's, adapted to this process and to what features ask for."""
+"""The settings that the policy uses: the file's, adapted to this process and to the features."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     ring: tuple[int, int] | None,
     min_subset_size: int,
 ) -> Settings:
-    """Adapts the file's settings to this process.
+    """Returns the file's settings, adapted to this process and to the features.
 
     Args:
-        settings: The file's.
-        sibling_count: The node's other processes; while there are some, each has its part.
-        ring: The position that is in force and the number of positions; None: the settings'.
-        min_subset_size: What features ask for; 0: nothing.
+        settings: The file's settings.
+        sibling_count: Number of the node's other processes; the limit on open requests is divided among all.
+        ring: The ring position in force and the number of positions; None: those of the settings.
+        min_subset_size: Smallest subset that a feature requests, in servers; 0: no request.
     """
     if sibling_count:
         max_open_requests = max(1, settings.max_open_requests // (1 + sibling_count))
@@ -29,7 +29,8 @@
             max_open_requests=max_open_requests,
         )
     if ring is not None:
-        # What all nodes must not do together goes by the larger count: members may be cut off, not dead.
+        # Limits that all nodes must keep together use the larger count, since members that seem dead may only
+        # be partitioned.
         settings = replace(
             settings,
             ring_position=ring,
--- a/loadbalancer/node/entry_point.py
+++ b/loadbalancer/node/entry_point.py
@@ -1,4 +1,4 @@
-"""Where a node's process begins, before anything that takes long is imported."""
+"""Entry point of a node's process; imports no slow modules before signals are blocked."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def run_node() -> int:
-    """Runs one node until it has ended.
+    """Runs one node until it ends.
 
-    A SIGHUP that comes before the node handles it would end the process, as signals do by
-    default. It is blocked first, and the modules of the node are imported after that.
+    By default, a SIGHUP that arrives before the node handles it would terminate the process. It
+    is therefore blocked first, and the node's modules are imported after that.
 
     Returns:
         The exit status of the process.
--- a/loadbalancer/node/event_queue.py
+++ b/loadbalancer/node/event_queue.py
@@ -1,4 +1,4 @@
-"""The policy's events, one after the other."""
+"""A queue that passes events to the policy one at a time."""
 
 from __future__ import annotations
 
@@ -10,12 +10,16 @@
 
 
 class EventQueue:
-    """Hands the policy its events in order: one that comes while another is handled waits for it.
+    """Passes events to the policy in order; an event that is posted while another is handled waits.
 
     Args:
-        now: The node's clock.
-        on_failure: Called with the event, its arguments and the exception that it raised. One event's
-            failure must not end the node or other requests.
+        now: Returns the node's time in microseconds.
+        on_failure: Called with the event, its arguments and the exception that it raised. The failure of one
+            event must not end the node or other requests.
+
+    Attributes:
+        waiting: Events that are not handled yet, with their arguments.
+        handling: Whether an event is being handled.
     """
 
     def __init__(
@@ -29,7 +33,12 @@
         self.handling = False
 
     def post(self, event: PolicyEvent, *args: Any) -> None:
-        """Hands the policy an event, after the one that it is handling, if any."""
+        """Passes an event to the policy, after the event that is being handled and those that wait.
+
+        Args:
+            event: A method of the policy; its first argument is the time.
+            args: Its further arguments.
+        """
         self.waiting.append((event, args))
         if self.handling:
             return
@@ -39,7 +48,7 @@
                 event, args = self.waiting.popleft()
                 try:
                     event(self.now(), *args)
-                except Exception as e:
-                    self.on_failure(event, args, e)
+                except Exception as error:
+                    self.on_failure(event, args, error)
         finally:
             self.handling = False
--- a/loadbalancer/node/features/node_events.py
+++ b/loadbalancer/node/features/node_events.py
@@ -50,7 +50,7 @@
         self.key_of: Callable[[ClientRequest], bytes | None] | None = None
         self.hit_of: Callable[[Reply], bool | None] | None = None
         # From the node's clock to that of the features, in microseconds.
-        self._clock_offset_us = host.node.origin // NS_PER_US
+        self._clock_offset_us = host.node.clock_offset_ns // NS_PER_US
 
     def update_followers(self) -> None:
         """Finds out which of the running features follow what."""
--- a/loadbalancer/node/lifecycle/__init__.py
+++ b/loadbalancer/node/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The node as a process: start, reload, upgrade and shutdown."""
+"""The node's process: configuration reload, and sharing its limits during a process upgrade."""
--- a/loadbalancer/node/lifecycle/process_share.py
+++ b/loadbalancer/node/lifecycle/process_share.py
@@ -1,4 +1,4 @@
-"""This process's part of the node's limits while another process takes over from it, or it from one."""
+"""This process's share of the node's limits during an upgrade, while the node has several processes."""
 
 from __future__ import annotations
 
@@ -18,28 +18,33 @@
 
 
 def descriptor_share(total: int, siblings: SiblingProcesses) -> int:
-    """The part of the node's descriptors that this process may use.
+    """Returns the number of the node's descriptors that this process may use.
 
-    Two processes that each go by the node's limits would be over them together. All that an ending sibling
-    does not hold any more may be used, since it takes nothing new.
+    Two processes that each used the node's limits would exceed them together. This process may use all
+    descriptors that a draining sibling no longer holds, since that one accepts no new clients.
 
     Args:
-        total: The node's descriptors, those that are set aside included.
+        total: Number of the node's descriptors, including those that are set aside.
         siblings: The node's other processes.
     """
-    shares = 1 + siblings.count
-    part = total // shares
-    if shares > 1 and (siblings.draining or siblings.descriptors > total - part):
-        part = total - siblings.descriptors
-    return part
+    process_count = 1 + siblings.count
+    share = total // process_count
+    if process_count > 1 and (
+        siblings.draining or siblings.descriptors > total - share
+    ):
+        share = total - siblings.descriptors
+    return share
 
 
 class ProcessShare:
-    """Looks for other processes of this node, and keeps to a part of its limits while there are some.
+    """Detects other processes of this node, and limits this one to its share while there are any.
+
+    Args:
+        node: The node that this process runs.
 
     Attributes:
-        registry: Where the processes find each other.
-        siblings: The others, as of the last look.
+        registry: The files by which the processes detect each other.
+        siblings: The other processes, as of the last check.
     """
 
     def __init__(self, node: Node) -> None:
@@ -48,21 +53,24 @@
         self.siblings = NO_SIBLINGS
 
     def start(self) -> None:
-        """Makes this process known, and looks for others from now on."""
+        """Registers this process and starts the periodic check for others."""
         self.registry.register()
         self.check_siblings()
 
     def stop(self) -> None:
-        """This process ends."""
+        """Removes this process from the registry."""
         self.registry.unregister()
 
     def leaves_node_empty(self) -> bool:
-        """Whether nobody goes on under this node's name when this process ends."""
+        """Returns whether no process of this node keeps running after this one ends."""
         siblings = self.registry.siblings()
         return siblings.count == 0 or siblings.draining
 
     def check_siblings(self) -> None:
-        """Looks for the others and tells them what this process uses; comes again by itself."""
+        """Checks for other processes and adapts this process's share.
+
+        It also publishes this process's use of descriptors, and schedules the next check.
+        """
         node = self.node
         siblings = self.registry.siblings()
         if siblings != self.siblings:
@@ -73,7 +81,7 @@
             self.apply()
             if changed:
                 node.apply_settings(node.table.settings)
-        # Descriptors that a sibling cannot have: those in use, and those set aside.
+        # Descriptors that are not available to a sibling: those in use and those set aside.
         used = (
             node.config.reserved
             + len(node.client_listener.connections)
@@ -83,7 +91,7 @@
         node.loop.call_later(SIBLING_CHECK_INTERVAL_S, self.check_siblings)
 
     def apply(self) -> None:
-        """Sets this process's part of the node's descriptors and memory."""
+        """Applies this process's share of the node's descriptors and memory."""
         node = self.node
         total = node.config.connections + node.config.reserved
         share = descriptor_share(total, self.siblings)
--- a/loadbalancer/node/lifecycle/reload.py
+++ b/loadbalancer/node/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""New settings for a running node: what may replace what is in force, and under which numbers."""
+"""Configuration reload: which fields a running node can apply, and the numbers of its request classes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from loadbalancer.node.config import Config
 
-# Fields of the configuration that a running node takes on...
+# Fields of `Config` that a running node applies at a reload
 RELOADED_FIELDS = (
     "discovery",
     "filed_discovery",
@@ -28,12 +28,17 @@
     "inline_reports",
     "report_names",
 )
-# ...and those that are of use at a start only.
+# Fields of `Config` that are used only at a start
 START_FIELDS = ("known", "seed")
 
 
 def fields_for_restart(old: Config, new: Config) -> list[str]:
-    """Names the fields that differ and that only a restart can take on."""
+    """Returns the names of the changed fields that only a restart can apply.
+
+    Args:
+        old: The configuration in force.
+        new: The new configuration.
+    """
     return [
         field.name
         for field in fields(new)
@@ -49,18 +54,23 @@
 
     Args:
         names: Names of the classes, in the order of the settings.
-        settings: The settings that name them.
+        settings: The settings that define the classes.
+
+    Attributes:
+        names: Names of the classes by number; an unused number keeps its last name.
+        numbers: Numbers of the served classes by encoded name.
+        settings: The settings in force, with the classes at their numbers.
     """
 
     def __init__(self, names: Collection[str], settings: Settings) -> None:
-        self.names = list(names)  # by number; a number that is free keeps its last name
+        self.names = list(names)
         self.numbers = {name.encode(): number for number, name in enumerate(names)}
         self.settings = settings
 
     def update(
         self, names: Collection[str], settings: Settings, in_use: Collection[int]
     ) -> Settings:
-        """Takes on other classes.
+        """Replaces the classes.
 
         Args:
             names: Names of the new classes, in the order of the new settings.
@@ -68,8 +78,8 @@
             in_use: Numbers of the classes of open requests.
 
         Returns:
-            The new settings, with the classes at their numbers; classes that are not served any more have
-            a priority weight of 0.
+            The new settings, with the classes at their numbers; classes that are no longer served have a
+            priority weight of 0.
         """
         classes = list(self.settings.classes)
         numbers: dict[bytes, int] = {}
--- a/loadbalancer/node/lifecycle/upgrade.py
+++ b/loadbalancer/node/lifecycle/upgrade.py
@@ -1,8 +1,8 @@
-"""What the processes of one node know of each other while one takes over from the other.
+"""Lets the processes of one node detect each other during a process upgrade.
 
-In a process upgrade two processes of one node accept from one inherited socket and have to keep to the
-limits of one node together. Each holds a locked file in `$TMPDIR`. The lock, not the file, says that its
-process lives: a file that a killed process has left behind is removed by whoever meets it first.
+In a process upgrade two processes of one node accept from one inherited socket and must keep within the
+limits of one node together. Each holds a locked file in `$TMPDIR`. The lock, not the file, shows that its
+process is alive: the file of a killed process is removed by the first process that finds it.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-REGISTER_ATTEMPTS = 4
+REGISTER_ATTEMPTS = 4  # to create and lock this process's file
 SIBLING_CHECK_INTERVAL_S = 0.2
 FILE_SUFFIX = ".node"
-FILE_BYTES = 64
-NAME_DIGEST_BYTES = 6
-NO_FILE = -1
+FILE_BYTES = 64  # size of a file; unused bytes are spaces
+NAME_DIGEST_BYTES = 6  # of the node's name in the file names
+NO_FILE = -1  # in place of a descriptor
 
 
 @dataclass(frozen=True)
 class SiblingProcesses:
-    """The other living processes of this node.
+    """The other live processes of this node.
 
     Attributes:
-        count: How many there are.
-        descriptors: The descriptors that they use together.
-        draining: Whether all of them are ending.
+        count: Number of the processes.
+        descriptors: Number of descriptors that they use together.
+        draining: Whether all of them are draining.
     """
 
     count: int = 0
@@ -41,9 +41,19 @@
 
 
 class ProcessRegistry:
-    """This process's file and a look at the files of the others.
+    """Publishes this process's state in a locked file, and reads the files of the node's other processes.
 
-    No method raises: where a file cannot be had, the node goes on as if it were alone.
+    No method raises an OSError: without a usable file, the node continues as if it had a single process.
+
+    Args:
+        node_name: The node's name.
+        folder: Folder of the files; None: the processes cannot detect each other.
+
+    Attributes:
+        prefix: Beginning of the names of this node's files.
+        path: Path of this process's file; empty until it is created.
+        file: Descriptor of this process's file, or NO_FILE.
+        published: The content that was written last.
     """
 
     def __init__(self, node_name: str, folder: str | None) -> None:
@@ -55,7 +65,7 @@
         self.published = b""
 
     def register(self) -> None:
-        """Makes this process known to the others."""
+        """Creates and locks this process's file."""
         if self.folder is None:
             return
         for _ in range(REGISTER_ATTEMPTS):
@@ -68,11 +78,17 @@
                     return
             except OSError:
                 pass
-            # Another process took the file for a dead one's before it was locked, or there is none.
+            # Another process took the file for a dead process's and removed it before it was locked, or the
+            # file could not be created.
             self.unregister()
 
     def publish(self, descriptors: int, draining: bool) -> None:
-        """Writes what the others should know: descriptors in use, and whether this process ends."""
+        """Writes this process's state for the other processes.
+
+        Args:
+            descriptors: Number of descriptors that are not available to other processes.
+            draining: Whether this process is draining.
+        """
         text = b"%d %d\n" % (descriptors, draining)
         if self.file >= 0 and text != self.published:
             self.published = text
@@ -80,7 +96,7 @@
                 os.pwrite(self.file, text.ljust(FILE_BYTES), 0)
 
     def siblings(self) -> SiblingProcesses:
-        """The other processes that live now."""
+        """Returns the state of the node's other live processes, and removes files of dead ones."""
         if self.folder is None:
             return NO_SIBLINGS
         count = descriptors = 0
@@ -103,18 +119,23 @@
         return SiblingProcesses(count, descriptors, draining)
 
     def is_file_of_node(self, name: str) -> bool:
-        """Whether a file in the folder is that of a process of this node."""
+        """Returns whether a file name belongs to a process of this node."""
         return name.startswith(self.prefix) and name.endswith(FILE_SUFFIX)
 
     def read(self, path: str) -> tuple[int, bool] | None:
-        """What a living process has published; None for a dead one, whose file is removed."""
+        """Reads the descriptors and the draining state of a live process.
+
+        Returns:
+            The number of descriptors and whether the process is draining; None for a dead process, whose file
+            is removed.
+        """
         try:
             file = os.open(path, os.O_RDWR | os.O_CLOEXEC)
         except OSError:
             return None
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:  # locked: its process lives
+        except OSError:  # locked, so its process is alive
             with suppress(OSError, ValueError):
                 descriptors, draining = os.pread(file, FILE_BYTES, 0).split()
                 return int(descriptors), draining == b"1"
--- a/loadbalancer/node/listen.py
+++ b/loadbalancer/node/listen.py
@@ -1,4 +1,4 @@
-"""Listening: what the system refuses becomes an error that says which address, why, and what to do."""
+"""Errors of listening sockets, which name the address, the system's reason and a remedy."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class ListenError(LoadBalancerError, OSError):
-    """An address or socket that the system does not give, for a reason without a type of its own."""
+    """The system refuses to listen at an address or socket, for a reason that has no type of its own."""
 
     remedy: ClassVar[str] = (
-        "listen at another address, or remove the reason that the system gives"
+        "listen at another address, or remove the cause that the system names"
     )
 
 
 class AddressInUseError(ListenError):
-    """Another process listens at the address."""
+    """Another process listens at the address already."""
 
     code: ClassVar[str] = "AddressTaken"
     remedy: ClassVar[str] = (
-        "end the process that listens there (`ss -ltnp` names it), or give this one another port;"
-        " in an upgrade hand the socket over with LB_ACCEPT_FD"
+        "stop the process that listens there (`ss -ltnp` names it), or give this one another port;"
+        " in an upgrade pass the socket on with LB_ACCEPT_FD"
     )
 
 
 class AddressNotLocalError(ListenError):
-    """The address is none of this machine's."""
+    """The address does not belong to this machine."""
 
     code: ClassVar[str] = "AddressForeign"
     remedy: ClassVar[str] = (
@@ -38,24 +38,25 @@
 
 
 class AddressPermissionError(ListenError):
-    """The user may not listen at the port."""
+    """The node's user may not listen at the port."""
 
     code: ClassVar[str] = "AddressForbidden"
     remedy: ClassVar[str] = (
-        "take a port of 1024 and above, or give the process CAP_NET_BIND_SERVICE"
+        "use a port of 1024 or above, or give the process CAP_NET_BIND_SERVICE"
     )
 
 
 class InheritedSocketError(ListenError):
-    """What LB_ACCEPT_FD names is not open, or not a stream socket."""
+    """The descriptor that LB_ACCEPT_FD names is not open, or is not a stream socket."""
 
     code: ClassVar[str] = "SocketUnusable"
     remedy: ClassVar[str] = (
-        "let the platform pass on a bound TCP socket and name it in LB_ACCEPT_FD"
+        "let the platform pass on a bound TCP socket and set LB_ACCEPT_FD to its descriptor number"
     )
 
 
-KINDS: dict[int | None, type[ListenError]] = {
+# The type of error by the system's error number; ListenError for all others.
+ERROR_TYPE_BY_ERRNO: dict[int | None, type[ListenError]] = {
     errno.EADDRINUSE: AddressInUseError,
     errno.EADDRNOTAVAIL: AddressNotLocalError,
     errno.EACCES: AddressPermissionError,
@@ -64,21 +65,29 @@
 
 
 @contextmanager
-def listening(what: str, address: tuple[str, int] | int | str) -> Iterator[None]:
-    """Turns an OSError inside into a ListenError that names `what` and the address, descriptor or path."""
+def listening(name: str, address: tuple[str, int] | int | str) -> Iterator[None]:
+    """Converts an OSError in the context to a ListenError.
+
+    Args:
+        name: The listener's name, for the message.
+        address: Host and port, descriptor number or path at which it listens.
+
+    Raises:
+        ListenError: The context raised an OSError, or the host's name is invalid.
+    """
     try:
         yield
-    except OSError as e:
-        why = e.strerror or str(e)
+    except OSError as error:
+        reason = error.strerror or str(error)
         if isinstance(address, int):
-            raise InheritedSocketError(why, f"{what} descriptor {address}") from None
-        # A name that cannot be looked up (gaierror) has numbers of its own, all of them negative.
-        kind = (
+            raise InheritedSocketError(reason, f"{name} descriptor {address}") from None
+        # A name that cannot be resolved (gaierror) has its own error numbers, which are all negative.
+        error_type = (
             AddressNotLocalError
-            if e.errno is not None and e.errno < 0
-            else KINDS.get(e.errno, ListenError)
+            if error.errno is not None and error.errno < 0
+            else ERROR_TYPE_BY_ERRNO.get(error.errno, ListenError)
         )
-        place = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
-        raise kind(why, f"{what} {place}") from None
-    except UnicodeError as e:  # a name that no look-up can be made for
-        raise AddressNotLocalError(str(e), f"{what} {address}") from None
+        location = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
+        raise error_type(reason, f"{name} {location}") from None
+    except UnicodeError as error:  # the name cannot be encoded for a look-up
+        raise AddressNotLocalError(str(error), f"{name} {address}") from None
--- a/loadbalancer/node/log.py
+++ b/loadbalancer/node/log.py
@@ -1,4 +1,4 @@
-"""The node's log: lines on standard error, so many per second at most."""
+"""The node's log: lines on standard error, with a limit per second."""
 
 from __future__ import annotations
 
@@ -7,29 +7,34 @@
 from time import monotonic
 
 MAX_LINES_PER_S = 20
-MAX_STRAY_LINES_PER_S = 5  # of what anybody can cause by sending garbage
+MAX_STRAY_LINES_PER_S = 5  # for events that any sender of invalid data can cause
 
 
 class Log:
-    """Writes lines and counts what it leaves out.
+    """Writes lines and counts those that it omits.
 
-    The bound keeps a flood of stray datagrams or broken requests from costing the node its processor, or
-    from blocking it where nobody reads the log.
+    The limit keeps a flood of stray datagrams or malformed requests from using up the node's processor time,
+    or from blocking the node when its log is not read.
 
     Args:
-        name: The node's name, which begins each line.
-        max_lines_per_s: Lines per second; beyond them lines are counted only.
+        name: The node's name, which starts each line.
+        max_lines_per_s: Largest number of lines per second; further lines are only counted.
+
+    Attributes:
+        lines_left: Lines that may still be written in the current second.
+        second: The current second of the monotonic clock.
+        omitted: Lines omitted since the last report of omitted lines.
     """
 
     def __init__(self, name: str, max_lines_per_s: int) -> None:
         self.name = name
         self.max_lines_per_s = max_lines_per_s
         self.lines_left = max_lines_per_s
-        self.second = 0  # of the monotonic clock, for which the lines are counted
+        self.second = 0
         self.omitted = 0
 
     def line(self, text: str) -> None:
-        """Writes one line, or counts it as left out."""
+        """Writes one line, or counts it as omitted."""
         second = int(monotonic())
         if second != self.second:
             self.second, self.lines_left = second, self.max_lines_per_s
@@ -43,11 +48,11 @@
         self.write(text)
 
     def write(self, text: str) -> None:
-        """Writes a line now. If nobody reads the log any more, the node serves on."""
+        """Writes a line regardless of the limit. A log that cannot be written does not stop the node."""
         with suppress(OSError):
             sys.stderr.write(self.frame(text) + "\n")
             sys.stderr.flush()
 
     def frame(self, text: str) -> str:
-        """The line as it is written."""
+        """Returns the line with its prefix."""
         return f"{self.name}: {text}"
--- a/loadbalancer/node/metrics.py
+++ b/loadbalancer/node/metrics.py
@@ -1,4 +1,4 @@
-"""The node's figures, counted from the start of the process."""
+"""The node's counters since the start of the process."""
 
 from __future__ import annotations
 
@@ -11,28 +11,41 @@
 
 
 class Metrics:
-    """Counts where something ends: reading the figures costs the same however busy the node is."""
+    """Counts events as they happen, so that the cost of reading the metrics does not depend on the load.
+
+    Attributes:
+        results: Numbers of ended requests by class and result; classes that a reload removed keep theirs.
+        outstanding: Requests that were accepted and have not ended.
+        forwards: Attempts that were written completely to servers.
+        sighup_applied: Reloads that were applied.
+        sighup_rejected: Reloads that were rejected.
+        reload_error: Why the last reload was rejected; None if it was applied.
+    """
 
     def __init__(self) -> None:
-        # By class; classes that a reload dropped keep theirs.
         self.results: dict[str, dict[str, int]] = {}
-        self.outstanding = 0  # requests taken and not ended
-        self.forwards = 0  # attempts written completely to servers
+        self.outstanding = 0
+        self.forwards = 0
         self.sighup_applied = 0
         self.sighup_rejected = 0
-        self.reload_error: LoadBalancerError | None = None  # of the last reload
+        self.reload_error: LoadBalancerError | None = None
 
     def add_classes(self, names: tuple[str, ...]) -> None:
-        """Names the classes that are served from now on."""
+        """Adds counters for classes that have none."""
         for name in names:
             self.results.setdefault(name, {"succeeded": 0, "declined": 0, "aborted": 0})
 
-    def request_taken(self) -> None:
-        """A request was taken."""
+    def request_accepted(self) -> None:
+        """Counts an accepted request."""
         self.outstanding += 1
 
     def request_ended(self, class_name: str, status: int) -> None:
-        """A request of a class got its final answer, or none (status 0)."""
+        """Counts the final response to a request by its class.
+
+        Args:
+            class_name: Name of the request's class.
+            status: HTTP status of the response; 0: there was none.
+        """
         if status == HTTPStatus.OK:
             result = "succeeded"
         elif status in REJECTED_STATUSES:
@@ -42,15 +55,19 @@
         self.results[class_name][result] += 1
 
     def request_released(self) -> None:
-        """Nothing more is owed for a request that was taken."""
+        """Counts the end of an accepted request."""
         self.outstanding -= 1
 
     def attempt_forwarded(self) -> None:
-        """An attempt's last byte was written."""
+        """Counts an attempt whose last byte was written."""
         self.forwards += 1
 
     def reloaded(self, error: LoadBalancerError | None = None) -> None:
-        """A new file was taken on, or rejected with an error."""
+        """Counts a reload.
+
+        Args:
+            error: Why it was rejected; None: it was applied.
+        """
         self.reload_error = error
         if error is None:
             self.sighup_applied += 1
@@ -58,14 +75,14 @@
             self.sighup_rejected += 1
 
     def figures(self, discovered: int, ejected: int) -> dict[str, Any]:
-        """All figures as `/admin/stats` publishes them.
+        """Returns all metrics as `/admin/stats` publishes them.
 
         Args:
-            discovered: Servers in the endpoint list.
-            ejected: Servers that outlier detection has ejected.
+            discovered: Number of servers in the endpoint list.
+            ejected: Number of servers that outlier detection has ejected.
         """
-        found: dict[str, Any] = {
-            "results": {name: dict(ends) for name, ends in self.results.items()},
+        values: dict[str, Any] = {
+            "results": {name: dict(counts) for name, counts in self.results.items()},
             "outstanding": self.outstanding,
             "forwards": self.forwards,
             "discovered": discovered,
@@ -74,5 +91,5 @@
             "sighup_rejected": self.sighup_rejected,
         }
         if self.reload_error is not None:
-            found["sighup_refused"] = self.reload_error.table()
-        return found
+            values["sighup_refused"] = self.reload_error.table()
+        return values
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -1,7 +1,7 @@
-"""One node: hosts a Balancer on sockets.
+"""One node: runs a Balancer on sockets.
 
-It joins the parts that hold the state: the clients' listener, the open requests, the connections to servers,
-the endpoint list, the features. It owns the clock, and makes no decision.
+It connects the components that hold the state: the clients' listener, the open requests, the connections to
+servers, the endpoint list and the features. It provides the clock and makes no decisions.
 """
 
 from __future__ import annotations
@@ -48,26 +48,34 @@
 
 
 class Node:
-    """One node: implements `Actions` for its Balancer, and hands it all events.
+    """One node: implements `Actions` for its Balancer, and passes all events to it.
 
-    Features (`node/features/`) use it as well; what they set stands in the attributes below.
+    Features (`node/features/`) use the node as well, and set some of the attributes below.
 
     Args:
         config: The platform's configuration.
-        loop: The loop that it runs on.
-        operation: The operators' configuration, if there is one.
+        loop: The event loop.
+        operation: The operators' configuration; None if there is none.
 
     Attributes:
-        settings: In force, with the classes at their numbers.
-        table: The classes by name and number.
-        feature_host: What runs the features, where there are some.
-        on_ended: Told of each attempt's end, where a feature listens.
-        on_request: Hands a request to the policy in the node's place, where a feature knows its shard's
-            replicas; says whether it did.
-        ring: The ring position that is in force, if not the platform's.
-        least_members: Servers that a feature wants in the subset at the least.
-        spread_members: The same, of the feature that evens out the load.
-        started: The policy has been told of the start.
+        log_lines: The log.
+        stray_lines: The log for events that any sender of invalid data can cause.
+        clock_offset_ns: Unix time minus monotonic time at the start, in nanoseconds.
+        settings: The settings in force, with the classes at their numbers.
+        table: The request classes by name and number.
+        metrics: The node's counters.
+        post: Passes an event to the policy.
+        control: The admin listener; None if there is none.
+        process_share: This process's share of the node's limits.
+        feature_host: Runs the features; None until an operators' file is applied.
+        on_ended: Called at the end of each attempt, if a feature listens.
+        on_request: Passes a request to the policy in place of the node, if a feature knows the replicas of
+            its shard; returns whether it did.
+        ring: The ring position in force and the number of positions; None: those of the platform.
+        least_members: Smallest subset that sharding requests, in servers.
+        spread_members: Smallest subset that the even distribution of load requests, in servers.
+        started: The policy has received its start event.
+        balancer: The policy.
     """
 
     def __init__(
@@ -80,9 +88,9 @@
         self.loop = loop
         self.operation = operation
         self.log_lines = Log(config.name, MAX_LINES_PER_S)
-        # Apart, so that whoever sends garbage cannot use up the lines that tell of faults.
+        # A separate log, so that invalid data cannot use up the lines that report faults.
         self.stray_lines = Log(config.name, MAX_STRAY_LINES_PER_S)
-        self.origin = time_ns() - monotonic_ns()
+        self.clock_offset_ns = time_ns() - monotonic_ns()
         self.settings = config.settings
         self.table = ClassTable(config.classes, config.settings)
         self.metrics = Metrics()
@@ -106,7 +114,7 @@
         self.balancer = Balancer(config.settings, config.seed, self)
 
     def _make_request_path(self) -> None:
-        """Makes what a request goes through."""
+        """Creates the components that process requests."""
         config = self.config
         self.requests = OpenRequests(self.metrics, self.table)
         self.deadline_guard = DeadlineGuard(self)
@@ -129,7 +137,7 @@
         self.endpoints = EndpointRegistry(self.pool, config.zones, config.kinds)
 
     def _make_discovery_and_peers(self) -> None:
-        """Makes the clients of discovery and of the other nodes."""
+        """Creates the clients of discovery and of the other nodes."""
         config = self.config
         version = config.known.version if config.known else None
         self.discovery = DiscoveryClient(
@@ -140,16 +148,19 @@
         )
 
     def now(self) -> int:
-        """The node's clock: Unix microseconds at the start plus monotonic time since; never goes back."""
-        return (self.origin + monotonic_ns()) // 1000
+        """Returns the node's time in microseconds: Unix time at the start plus the monotonic time since.
+
+        It never goes back.
+        """
+        return (self.clock_offset_ns + monotonic_ns()) // 1000
 
     # ---- start and end --------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Begins to serve.
+        """Starts the features and the policy, and accepts clients.
 
         Raises:
-            ListenError: An address cannot be had.
+            ListenError: An address cannot be bound.
         """
         await self._listen_to_others()
         self.reconcile_features()
@@ -168,7 +179,7 @@
             self.client_listener.start(self.config.listen, inherited)
 
     async def _listen_to_others(self) -> None:
-        """Listens to the other nodes and to operators."""
+        """Opens the sockets for the other nodes and for operators."""
         if self.config.settings.peers and self.config.peer_listen is not None:
             with listening("peer_listen", self.config.peer_listen):
                 await self.loop.create_datagram_endpoint(
@@ -182,9 +193,9 @@
                 await self.control.start(self.config.control)
 
     async def drain(self) -> None:
-        """Answers what has been taken within the time until SIGKILL, and ends."""
+        """Answers the accepted requests within the time until SIGKILL, and stops."""
         if self.feature_host is not None:
-            # A process that takes over goes on under this node's name: then nobody has left.
+            # If another process continues under this node's name, the node has not left the membership.
             self.feature_host.stop(graceful=self.process_share.leaves_node_empty())
         time_us = drain_time_us(max(c.deadline for c in self.config.settings.classes))
         self.deadline_guard.end_by(self.now() + time_us)
@@ -200,40 +211,40 @@
     # ---- operators ------------------------------------------------------------------------------------
 
     def health(self) -> tuple[bool, dict[str, Any]]:
-        """Whether clients are truly taken (200, else 503), and the page's table."""
-        taking = self.ready() and self.client_listener.listener is not None
-        return taking, {"taking": taking}
+        """Returns whether clients are accepted (200, else 503), and the object of `/admin/health`."""
+        accepting = self.ready() and self.client_listener.listener is not None
+        return accepting, {"taking": accepting}
 
     def figures(self) -> tuple[bool, dict[str, Any]]:
-        """True, since there always are figures, and the table of `/admin/stats`."""
-        found = self.metrics.figures(
+        """Returns True, since metrics are always available, and the object of `/admin/stats`."""
+        values = self.metrics.figures(
             len(self.listed or ()), int(self.balancer.stats()["ejected"])
         )
         if self.feature_host is not None:
-            found |= self.feature_host.metrics()
-        return True, found
+            values |= self.feature_host.metrics()
+        return True, values
 
     def ready(self) -> bool:
-        """Whether clients may be sent here (`/ready`)."""
-        out = self.client_listener.draining or (
+        """Returns whether clients may be routed to this node (`/ready`)."""
+        excluded = self.client_listener.draining or (
             self.feature_host is not None and self.feature_host.quarantine_reason
         )
-        return self.listed is not None and self.discovery.is_settled() and not out
+        return self.listed is not None and self.discovery.is_settled() and not excluded
 
     # ---- configuration --------------------------------------------------------------------------------
 
     def reload(self, config: Config, operation: OperatorConfig | None = None) -> None:
-        """Takes on a new configuration, as soon as no feature has anything against it."""
+        """Applies a new configuration, as soon as no feature objects."""
         if self.feature_host is not None:
             self.feature_host.reload(config, operation)
         else:
             self.adopt(config, operation)
 
     def adopt(self, config: Config, operation: OperatorConfig | None) -> None:
-        """Takes on a new configuration now: connections, requests and all that was learned stay.
+        """Applies a new configuration now; connections, requests and all learned state stay.
 
-        What only a start can take on is named in the log. Requests that are open keep the settings they
-        came under: their classes keep their numbers, and their attempts are counted against the old bound.
+        Changes that require a restart are named in the log. Open requests keep the settings under which they
+        arrived: their classes keep their numbers, and their attempts count against the old limit.
         """
         old = self.config
         in_use = {request.class_index for request in self.requests.values()}
@@ -249,8 +260,8 @@
         self.apply_settings(settings)
         self.operation = operation
         self.reconcile_features()
-        if left := fields_for_restart(old, config):
-            self.log_lines.line(f"reload restart required settings={','.join(left)}")
+        if pending := fields_for_restart(old, config):
+            self.log_lines.line(f"reload restart required settings={','.join(pending)}")
         if config.discovery != old.discovery:
             self.discovery.move_to(config.discovery)
         self.peers.set_addresses(config.peers, config.peers_all)
@@ -258,15 +269,15 @@
             f"reload applied discovery={config.discovery[0]}:{config.discovery[1]}"
         )
 
-    def reject_reload(self, why: LoadBalancerError) -> None:
-        """A new file that cannot be used: all stays as it is."""
-        self.metrics.reloaded(why)
+    def reject_reload(self, error: LoadBalancerError) -> None:
+        """Counts and logs a new configuration that cannot be used; the old one stays in force."""
+        self.metrics.reloaded(error)
         self.log_lines.line(
-            f"reload rejected reason={why.line()}; the old configuration stays"
+            f"reload rejected reason={error.line()}; the old configuration stays"
         )
 
     def apply_settings(self, settings: Settings) -> None:
-        """Hands the policy other settings, adapted to this process and to what features ask for."""
+        """Passes settings to the policy, adapted to this process and to the features."""
         self.settings = effective_settings(
             settings,
             self.process_share.siblings.count,
@@ -276,7 +287,7 @@
         self.post(self.balancer.update_settings, self.settings)
 
     def zone_of(self, config: Config) -> int:
-        """This node's zone by the numbers that the servers' zones have here."""
+        """Returns the number of this node's zone among the numbers that this node uses for zones."""
         if config.settings.zone >= len(config.zones):
             return config.settings.zone
         return self.endpoints.zone_number(config.zones[config.settings.zone])
@@ -284,9 +295,9 @@
     # ---- features -------------------------------------------------------------------------------------
 
     def reconcile_features(self) -> None:
-        """Starts, tells and ends the features that the operators' file asks for."""
+        """Starts, updates and stops features as the operators' file requests."""
         if self.feature_host is None and self.operation is not None:
-            # Here, because a node without such a file needs none of it.
+            # Imported here because a node without an operators' file does not need the module.
             from loadbalancer.node.features.host import NodeFeatureHost
 
             self.feature_host = NodeFeatureHost(self)
@@ -295,7 +306,7 @@
 
     @property
     def members(self) -> MembershipHost | None:
-        """This node's part in the membership, while it has one."""
+        """This node's membership; None while it has none."""
         return self.feature_host.members if self.feature_host is not None else None
 
     @property
@@ -305,12 +316,12 @@
 
     @property
     def listed(self) -> set[int] | None:
-        """The endpoints in the list, once there is one."""
+        """The endpoints in the list; None until a list is complete."""
         return self.endpoints.listed
 
     @property
     def named(self) -> set[int] | None:
-        """While a long full list is being received, the endpoints in the parts so far; None otherwise."""
+        """The endpoints in the received parts of an incomplete full list; None if there is none."""
         return self.endpoints.named
 
     # ---- events ---------------------------------------------------------------------------------------
@@ -318,7 +329,7 @@
     def on_event_failed(
         self, event: PolicyEvent, args: tuple[Any, ...], error: Exception
     ) -> None:
-        """The policy has raised at an event: a request that it was about is failed."""
+        """Logs an exception of the policy, and answers 500 to the request that the event concerned."""
         self.log_lines.line(
             f"policy event failed event={event.__name__} reason={type(error).__name__}: {error}"
         )
@@ -326,7 +337,12 @@
             self.requests.answer(args[0], 500)
 
     def on_list(self, listing: Listing | None, more: bool = False) -> None:
-        """An update of the list, or a call for it that failed. Of a long list `more` is to come."""
+        """Handles an update of the endpoint list.
+
+        Args:
+            listing: The update; None: a call to discovery had no usable answer.
+            more: Whether more parts of a long list follow.
+        """
         if listing is None:
             if self.config.settings.list_must_be_polled:
                 self.post(self.balancer.update_endpoints, ListUpdateKind.FAILED, ())
@@ -338,7 +354,7 @@
             self.feature_host.on_list_applied()
 
     def take(self, listing: Listing, more: bool = False) -> None:
-        """Takes up an update of the list, and hands it to the policy."""
+        """Applies an update of the endpoint list, and passes it to the policy."""
         entries = self.endpoints.update(listing, more)
         self.post(
             self.balancer.update_endpoints,
@@ -348,45 +364,45 @@
         )
 
     def on_peer_message(self, peer: int, data: bytes) -> None:
-        """A peer's message."""
+        """Passes a peer's message to the policy."""
         self.post(self.balancer.peer_message, peer, data)
 
     # ---- Actions --------------------------------------------------------------------------------------
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Starts the request's next attempt. What may not be sent ends as NOT_SENT, after this event."""
+        """Starts the request's next attempt; one that may not be sent ends as NOT_SENT after this event."""
         self.forwarder.send(request, server, timeout)
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Gives an attempt up; its outcome follows after this event."""
+        """Cancels an attempt; its outcome follows after this event."""
         self.forwarder.cancel(request, attempt)
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Answers 503, with advice when to come back."""
+        """Answers 503 and advises the client when to retry."""
         self.requests.answer(request, 503, headers=retry_after_header(retry_after))
 
     def fail(self, request: int) -> None:
-        """Answers 502: nothing is promised."""
+        """Answers 502: the request was not served, and its effects are unknown."""
         self.requests.answer(request, 502)
 
     def check_health(self, server: int) -> None:
-        """Asks a server for its load report, or whether it is well where there are no reports."""
+        """Requests a server's load report, or checks its health if there are no reports."""
         start_health_check(self, server)
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Hands `token` back after `delay` microseconds."""
+        """Passes `token` back to the policy after `delay` microseconds."""
         self.loop.call_later(max(0, delay) / 1e6, self.post, self.balancer.timer, token)
 
     def send_to_peer(self, peer: int, data: bytes) -> None:
-        """Sends a message to a peer, or to all."""
+        """Sends a message to a peer, or to all of them (`ALL_PEERS`)."""
         self.peers.send(peer, data)
 
     def watch(self, on: bool) -> None:
-        """Begins or ends the watch on the endpoint list."""
+        """Starts or stops the watch on the endpoint list."""
         self.discovery.watch(on)
 
     def fetch(self) -> None:
-        """Asks for the full endpoint list."""
+        """Requests the full endpoint list."""
         self.discovery.fetch()
 
     def close(self, server: int) -> None:
--- a/loadbalancer/node/numbering.py
+++ b/loadbalancer/node/numbering.py
@@ -1,4 +1,4 @@
-"""Numbers that stand for names."""
+"""Derives the numbers of servers from their names."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def number_of(name: str) -> int:
-    """A server's number: the same at every node, since all copies share one shuffle of the numbers."""
+    """Returns a server's number.
+
+    It is the same at every node, since all instances share one shuffle of the numbers.
+    """
     digest = blake2b(
         name.encode(errors="surrogatepass"), digest_size=NUMBER_BYTES
     ).digest()
--- a/loadbalancer/node/peers.py
+++ b/loadbalancer/node/peers.py
@@ -1,4 +1,4 @@
-"""Short messages between the nodes of a tier, over UDP."""
+"""Short messages between the nodes of a tier over UDP."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from loadbalancer.node.log import Log
 
 MAX_MESSAGE_BYTES = 256
-ALL_PEERS = -1
+ALL_PEERS = -1  # in place of a peer's number
 
 Address = tuple[str, int]
 
 
 class PeerMessenger(asyncio.DatagramProtocol):
-    """Sends messages to the tier's nodes by number and hands on what comes from them.
+    """Sends messages to the tier's nodes by number, and delivers messages from them.
 
     Args:
         peers: Addresses of the tier's nodes, by number.
-        all_peers: The address that reaches all of them, if there is one.
-        on_message: Gets the number of the sender and the message.
-        log: Where stray datagrams and messages that were not sent are named.
+        all_peers: Address that reaches all of them; None if there is none.
+        on_message: Called with the sender's number and the message.
+        log: Receives dropped datagrams and messages.
     """
 
     def __init__(
@@ -45,11 +45,16 @@
         self.all_peers = all_peers
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is there: messages can be sent."""
+        """Stores the opened socket, after which messages can be sent."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def send(self, peer: int, data: bytes) -> None:
-        """Sends a message to one peer, or to all (ALL_PEERS). One that is too long is not sent."""
+        """Sends a message; without a socket or an address, or beyond MAX_MESSAGE_BYTES, it is dropped.
+
+        Args:
+            peer: Number of the peer; ALL_PEERS: all of them.
+            data: The message.
+        """
         address = self.address_of(peer)
         if self.transport is None or address is None or len(data) > MAX_MESSAGE_BYTES:
             self.log.line(f"peers message dropped peer={peer} bytes={len(data)}")
@@ -57,13 +62,13 @@
         self.transport.sendto(data, address)
 
     def address_of(self, peer: int) -> Address | None:
-        """Where a peer is reached; None if there is no such peer."""
+        """Returns a peer's address; None if there is no such peer."""
         if peer < 0:
             return self.all_peers
         return self.peers[peer] if peer < len(self.peers) else None
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Hands on a message of a peer; anything else is dropped."""
+        """Delivers a message of a peer; other and oversized datagrams are dropped."""
         number = self.numbers.get((addr[0], addr[1]))
         if number is None or len(data) > MAX_MESSAGE_BYTES:
             self.log.line("peers datagram dropped reason=stray or oversized")
@@ -71,5 +76,5 @@
         self.on_message(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Names an error of the socket."""
+        """Logs an error of the socket."""
         self.log.line(f"peers socket failed reason={exc}")
--- a/loadbalancer/node/process.py
+++ b/loadbalancer/node/process.py
@@ -1,4 +1,4 @@
-"""One node as a process: what it is told, its signals, its course and its end."""
+"""A node's process: configuration, signals, start and shutdown."""
 
 from __future__ import annotations
 
@@ -21,27 +21,39 @@
     from loadbalancer.config.operator_config import OperatorConfig
 
 
-def wishes(environ: Mapping[str, str]) -> OperatorConfig | None:
-    """The operators' file, if LB_OPERATOR names one. An OperatorConfigError if it cannot be used."""
+def load_operator_config(environ: Mapping[str, str]) -> OperatorConfig | None:
+    """Loads the operators' file that LB_OPERATOR names; None if it is not set.
+
+    Raises:
+        OperatorConfigError: The file cannot be used.
+    """
     path = environ.get("LB_OPERATOR")
     if not path:
         return None
-    # Here, because a node without such a file does not need the packages that read it.
+    # Imported here because a node without an operators' file does not need the packages that read it.
     from loadbalancer.config.operator_config import OperatorConfigError, load
 
     try:
         return load(path, environ)
-    except OperatorConfigError as e:
-        raise e.within("LB_OPERATOR") from None
+    except OperatorConfigError as error:
+        raise error.within("LB_OPERATOR") from None
+
+
+async def serve(config: Config, operator_config: OperatorConfig | None) -> None:
+    """Runs the node until SIGTERM or SIGINT, then drains it. SIGHUP reloads the configuration.
 
+    Args:
+        config: The node's configuration.
+        operator_config: The operators' configuration; None if there is none.
 
-async def serve(config: Config, operation: OperatorConfig | None) -> None:
-    """Runs the node until SIGTERM, and to the last answer it owes. SIGHUP reads the configuration anew."""
+    Raises:
+        ListenError: An address cannot be bound.
+    """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)  # a second one changes nothing
-    node = Node(config, loop, operation)
+        loop.add_signal_handler(number, stop.set)  # a second signal has no effect
+    node = Node(config, loop, operator_config)
 
     def failed(_: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
         node.log_lines.line(
@@ -50,39 +62,43 @@
 
     def reload() -> None:
         try:
-            operation = wishes(os.environ)
-            node.reload(load(os.environ, node.config), operation)
-        except LoadBalancerError as e:
-            node.reject_reload(e)
+            operator_config = load_operator_config(os.environ)
+            node.reload(load(os.environ, node.config), operator_config)
+        except LoadBalancerError as error:
+            node.reject_reload(error)
 
     loop.set_exception_handler(failed)
     loop.add_signal_handler(signal.SIGHUP, reload)
     await node.start()
-    signal.pthread_sigmask(
-        signal.SIG_UNBLOCK, {signal.SIGHUP}
-    )  # one that came during the start is heard now
-    # What the start has made lives as long as the node: the collector need not look at it again.
+    # Delivers a SIGHUP that arrived during the start.
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+    # Objects made during the start live as long as the node, so the garbage collector need not examine them.
     gc.collect()
     gc.freeze()
     await stop.wait()
     await node.drain()
-    # Failure prevented: the loop tends no signal from its end on, and one that comes before the process has
-    # gone ends it as a crash does.
+    # Failure prevented: once the loop has ended, it handles no signals, and a signal that arrives before the
+    # process exits would terminate it like a crash.
     signal.pthread_sigmask(
         signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT}
     )
 
 
 def run() -> int:
-    """Starts a node; 2 if it was told what it cannot start with."""
+    """Runs a node.
+
+    Returns:
+        The exit status: 0 after a shutdown, 1 if an address cannot be bound, 2 if the configuration cannot be
+        used.
+    """
     try:
-        config, operation = load(os.environ), wishes(os.environ)
-    except LoadBalancerError as e:
-        print(f"loadbalancer: {e.line()}", file=sys.stderr)
+        config, operator_config = load(os.environ), load_operator_config(os.environ)
+    except LoadBalancerError as error:
+        print(f"loadbalancer: {error.line()}", file=sys.stderr)
         return 2
     try:
-        uvloop.run(serve(config, operation))
-    except ListenError as e:
-        print(f"loadbalancer: cannot listen: {e.line()}", file=sys.stderr)
+        uvloop.run(serve(config, operator_config))
+    except ListenError as error:
+        print(f"loadbalancer: cannot listen: {error.line()}", file=sys.stderr)
         return 1
     return 0
--- a/loadbalancer/node/requests/open_request.py
+++ b/loadbalancer/node/requests/open_request.py
@@ -124,7 +124,7 @@
         assert request.client is not None
         self.by_call_id[request.call_id] = request
         self.by_id[request.id] = self.by_client[request.client] = request
-        self.metrics.request_taken()
+        self.metrics.request_accepted()
 
     def answer(
         self, number: int, status: int, body: bytes = b"", headers: bytes = b""
--- a/loadbalancer/node/udp.py
+++ b/loadbalancer/node/udp.py
@@ -1,4 +1,4 @@
-"""Datagrams by UDP, on the node's loop."""
+"""A UDP transport on the node's event loop."""
 
 from __future__ import annotations
 
@@ -16,67 +16,85 @@
     TransportError,
 )
 
-MAX_BUFFERED_BYTES = 1 << 20  # that the socket would not take and the loop keeps
+MAX_BUFFERED_BYTES = 1 << 20  # that the socket has not accepted and the loop buffers
 MAX_PORT = 65_535
-# Linux: nine counters of a socket's memory, 32 bits each, of which one counts datagrams dropped when its
-# receive buffer was full.
+# A Linux socket option that returns nine 32-bit counters of the socket's memory. One of them counts the
+# datagrams that were dropped because its receive buffer was full.
 SO_MEMINFO = 55
 MEMINFO_BYTES = 36
 MEMINFO_DROPS_OFFSET = 4 * 8
 
 
 class Udp(BaseTransport, asyncio.DatagramProtocol):
-    """One socket. Only numeric addresses are sent to: no name is ever looked up on the node's loop."""
+    """One UDP socket. Destinations must be numeric: names are never resolved on the node's loop.
+
+    Args:
+        listen: Host and port to bind.
+        largest: Size limit of a datagram in bytes.
+    """
 
     def __init__(self, listen: Address, largest: int = LARGEST) -> None:
         super().__init__(largest)
         self.listen = listen
         self.transport: Any = None  # an asyncio.DatagramTransport
-        self._send_errors = 0  # reported by the socket
-        self._receive_drops = 0  # datagrams that found the socket's buffer full
+        self._send_errors = 0  # errors that the socket has reported
+        self._receive_drops = 0  # datagrams dropped because the receive buffer was full
 
     async def open(self, received: Received) -> Address:
-        """Binds the socket; a TransportError if the address cannot be had."""
+        """Binds the socket and returns its address.
+
+        Args:
+            received: Called with each datagram.
+
+        Raises:
+            TransportError: The address cannot be bound, or the transport was closed in the meantime.
+        """
         self.check_unopened()
-        where = "{}:{}".format(*self.listen)
+        location = "{}:{}".format(*self.listen)
         try:
-            made, _ = await asyncio.get_running_loop().create_datagram_endpoint(
+            transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
                 lambda: self, local_addr=self.listen
             )
         except OSError as error:
-            raise TransportError(str(error), where) from error
+            raise TransportError(str(error), location) from error
         if self.is_closed:
-            made.close()
-            raise TransportError("closed while it was being opened", where)
-        self.transport = made
-        return self.mark_open(received, made.get_extra_info("sockname")[:2])
+            transport.close()
+            raise TransportError(
+                "the transport was closed while it was being opened", location
+            )
+        self.transport = transport
+        return self.mark_open(received, transport.get_extra_info("sockname")[:2])
 
     @property
     def counters(self) -> Counters:
-        """What went through so far."""
+        """Counters of the traffic so far."""
         self._count_receive_drops()
         return self.tally
 
     def _count_receive_drops(self) -> None:
-        """Adds the datagrams that the system dropped while the loop did not read."""
-        bound = (
+        """Adds the datagrams that the system dropped because the loop did not read them in time."""
+        udp_socket = (
             None if self.transport is None else self.transport.get_extra_info("socket")
         )
-        if bound is None:
+        if udp_socket is None:
             return
         try:
-            memory = bound.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, MEMINFO_BYTES)
+            memory = udp_socket.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, MEMINFO_BYTES)
             (drops,) = struct.unpack_from("=I", memory, MEMINFO_DROPS_OFFSET)
-        except (OSError, struct.error):  # this system does not count them
+        except (OSError, struct.error):  # the system has no such counter
             return
         if drops > self._receive_drops:
             dropped = self.tally.dropped
-            more = drops - self._receive_drops
-            dropped["full"] = dropped.get("full", 0) + more
+            new_drops = drops - self._receive_drops
+            dropped["full"] = dropped.get("full", 0) + new_drops
             self._receive_drops = drops
 
     def send(self, data: bytes, to: Address) -> bool:
-        """Sends at once, or buffers; False if the datagram was dropped, and counted."""
+        """Sends a datagram or buffers it.
+
+        Returns:
+            Whether it was accepted; a dropped datagram is counted.
+        """
         if not self.admits(data):
             return False
         if self.transport.get_write_buffer_size() + len(data) > MAX_BUFFERED_BYTES:
@@ -85,10 +103,10 @@
         errors_before = self._send_errors
         try:
             if not 0 < to[1] <= MAX_PORT:  # uvloop would send to the port modulo 65,536
-                raise ValueError("no port")
+                raise ValueError("the port is not in the range 1 to 65535")
             self.transport.sendto(data, to)
         except (OSError, ValueError, OverflowError, TypeError):
-            # Gossip may hold addresses that no socket can send to.
+            # Gossip may contain addresses to which no socket can send.
             self._send_errors += 1
         if self._send_errors != errors_before:
             self.tally.drop("unreachable")
@@ -103,12 +121,12 @@
             self.transport = None
         self.mark_closed()
 
-    # ---- what the loop calls ---------------------------------------------------------------------------
+    # ---- callbacks of the loop -------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """A datagram arrived."""
+        """Delivers a received datagram."""
         self.deliver(data, (str(addr[0]), int(addr[1])))
 
     def error_received(self, exc: Exception) -> None:
-        """A port refused a datagram, as a killed process's does: the probes find that out."""
+        """Counts a refused datagram, as after a process was killed; probes detect the dead member."""
         self._send_errors += 1
