--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -1,4 +1,4 @@
-"""The same core behaviour under unlike settings, and no name of any deployment in the program."""
+"""The same core behaviour under different settings, and no name of any deployment in the program."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 SAFE, KEYED, UNSAFE = "free", "guarded", "single_shot"
 
 
-def of(name: str, effect: str, deadline: int, **more: Any) -> dict[str, Any]:
-    """A class; its times are in milliseconds."""
+def request_class(name: str, effect: str, deadline: int, **more: Any) -> dict[str, Any]:
+    """Returns a request class; `deadline` is in milliseconds."""
     times = {
         "goal_time": deadline * MS,
         "hard_limit": deadline * MS,
@@ -41,11 +41,11 @@
     return {"probing": False, "peers": False, "connect_timeout": 2_000 * MS} | changes
 
 
-# One class that may not run twice, and nothing that is allowed; the usual three; many classes, long times, an
-# effect that nobody knows; a later tier.
+# One class that may not run twice, with no permissions; the usual three classes; many classes with long times
+# and an unknown effect; a later tier.
 SITES: dict[str, dict[str, Any]] = {
     "one-class": {
-        "classes": [of("fare", UNSAFE, 300)],
+        "classes": [request_class("fare", UNSAFE, 300)],
         "discovery": "push",
         "policy_limits": limits(max_attempts=1, cancel=False, retry_after=False),
         "report": {"how": "none", "columns": []},
@@ -54,9 +54,11 @@
     },
     "three-classes": {
         "classes": [
-            of("Look.up", SAFE, 2000, worth=0.5),
-            of("reserve", KEYED, 1500, group="cell", window=200 * MS, worth=3.0),
-            of("pay_now", UNSAFE, 1000, worth=20.0, late_value=0.0),
+            request_class("Look.up", SAFE, 2000, worth=0.5),
+            request_class(
+                "reserve", KEYED, 1500, group="cell", window=200 * MS, worth=3.0
+            ),
+            request_class("pay_now", UNSAFE, 1000, worth=20.0, late_value=0.0),
         ],
         "discovery": "ask",
         "policy_limits": limits(
@@ -68,11 +70,11 @@
     },
     "eight-classes": {
         "classes": [
-            *(of(f"r{i}", SAFE, 20_000 - i) for i in range(4)),
-            of("k-short", KEYED, 20_000, group="zone", window=MS),
-            of("k-long", KEYED, 20_000, group="zone", window=60_000 * MS),
-            of("u", UNSAFE, 300, worth=900.0),
-            of("new", "brand_new", 20_000),
+            *(request_class(f"r{i}", SAFE, 20_000 - i) for i in range(4)),
+            request_class("k-short", KEYED, 20_000, group="zone", window=MS),
+            request_class("k-long", KEYED, 20_000, group="zone", window=60_000 * MS),
+            request_class("u", UNSAFE, 300, worth=900.0),
+            request_class("new", "brand_new", 20_000),
         ],
         "discovery": "push",
         "policy_limits": limits(
@@ -87,7 +89,10 @@
         "deductions": {"cross_zone": 0.0},
     },
     "later-tier": {
-        "classes": [of("put", KEYED, 900, window=800 * MS), of("get", SAFE, 900)],
+        "classes": [
+            request_class("put", KEYED, 900, window=800 * MS),
+            request_class("get", SAFE, 900),
+        ],
         "discovery": "ask",
         "layers": ["edge", "mid", "back"],
         "tier": 1,
@@ -109,7 +114,7 @@
 
 
 def request(site: str, name: str, budget: int = 250, number: bytes = b"9b1f") -> bytes:
-    """A request of a class, as the protocol has it for the class's effect."""
+    """Returns a request of a class, in the form that the class's effect requires."""
     effect = klass(site, name)["effect"]
     lines = [b"X-Call-Id: %b" % number, b"X-Budget-Ms: %d" % budget, b"Host: app"]
     body = b""
@@ -133,15 +138,15 @@
     return bench
 
 
-class Places(Server):
-    """A server in a cell and a zone of its own, or shared."""
+class LocatedServer(Server):
+    """A server in a given cell and zone."""
 
     def __init__(self, handle: Any, cell: int, zone: str) -> None:
         super().__init__(handle)
-        self.place = {"cell": cell, "zone": zone}
+        self.location = {"cell": cell, "zone": zone}
 
     def entry(self, name: str, state: str = "ready", **changes: Any) -> dict[str, Any]:
-        return super().entry(name, state, **self.place, **changes)
+        return super().entry(name, state, **self.location, **changes)
 
 
 @each
@@ -167,20 +172,20 @@
 
 
 @each
-def test_what_may_have_run_is_sent_again_only_as_its_class_allows(
+def test_a_request_that_may_have_run_is_sent_again_only_as_its_class_allows(
     site: str, name: str
 ) -> None:
     async def scene() -> None:
         loop = asyncio.get_running_loop()
-        runs: list[tuple[float, Places]] = []
+        runs: list[tuple[float, LocatedServer]] = []
 
-        def at(n: int) -> Places:
+        def at(n: int) -> LocatedServer:
             async def run(request: Any, writer: asyncio.StreamWriter) -> None:
                 runs.append((loop.time(), server))
-                await asyncio.sleep(0.01)  # longer than the shortest window of repeats
+                await asyncio.sleep(0.01)  # longer than the shortest idempotency window
                 reset(writer)
 
-            server = Places(run, n % 2, "here" if n % 2 else "there")
+            server = LocatedServer(run, n % 2, "here" if n % 2 else "there")
             return server
 
         bench = await bench_of(site, *(at(n) for n in range(4)))
@@ -194,7 +199,7 @@
             assert 1 < len(runs) <= most
             assert runs[-1][0] - runs[0][0] <= c["window"] / 1e6
             if c["group"] != "all":
-                assert all(server.place == runs[0][1].place for _, server in runs)
+                assert all(server.location == runs[0][1].location for _, server in runs)
         elif c["effect"] != SAFE:
             assert len(runs) == 1
         elif most > 1:
@@ -204,14 +209,14 @@
 
 
 @each
-def test_what_is_turned_away_is_refused_with_advice_only_where_that_is_allowed(
+def test_a_request_that_all_servers_reject_gets_retry_advice_only_where_permitted(
     site: str, name: str
 ) -> None:
     async def scene() -> None:
-        async def away(request: Any, writer: asyncio.StreamWriter) -> bytes:
+        async def reject(request: Any, writer: asyncio.StreamWriter) -> bytes:
             return FULL
 
-        bench = await bench_of(site, *(Server(away) for _ in range(3)))
+        bench = await bench_of(site, *(Server(reject) for _ in range(3)))
         status, headers, _ = await bench.once(request(site, name))
         given = SITES[site]["policy_limits"]
         assert status == 503
@@ -225,7 +230,7 @@
 
 
 @each
-def test_a_server_that_hangs_costs_no_more_than_the_time_and_no_second_run(
+def test_a_hung_server_costs_no_more_than_the_budget_and_no_second_run(
     site: str, name: str
 ) -> None:
     async def scene() -> None:
@@ -234,13 +239,13 @@
 
         bench = await bench_of(site, *(Server(hang) for _ in range(2)))
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         with LoopWatch() as watch:
             status, _, _ = await bench.once(request(site, name, budget=120))
         assert status not in (200, 429)
-        assert loop.time() - began < 0.12 + 0.5
-        # A collection of garbage, or a busy machine, may stop the process for all of the request's time
-        # between the guard's start and the attempt's: the guard is due first then, and answers as it should.
+        assert loop.time() - started_at < 0.12 + 0.5
+        # Garbage collection or a busy machine may pause the process for the request's entire time between
+        # the start of the guard and that of the attempt. Then the guard is due first, and rightly answers.
         failed_count = bench.node.deadline_guard.failed_count
         assert failed_count == 0 or watch.longest_hold_s >= 0.12
         runs = sum(len(s.requests) for s in bench.servers)
@@ -250,7 +255,7 @@
 
 
 @pytest.mark.parametrize("site", SITES)
-def test_a_client_that_left_ends_its_attempt_only_where_that_is_allowed(
+def test_a_disconnected_client_s_attempt_is_cancelled_only_where_permitted(
     site: str,
 ) -> None:
     async def scene() -> None:
@@ -282,14 +287,14 @@
             assert (await bench.once(request(site, name, number=b"second")))[0] == 200
             assert (
                 server.connections == 1
-            )  # the first answer came, and the connection was used again
+            )  # the first answer arrived, and the connection was reused
         await until(lambda: not bench.node.requests)
 
     play(scene)
 
 
 @pytest.mark.parametrize("site", SITES)
-def test_a_drain_is_honoured(site: str) -> None:
+def test_a_draining_server_gets_no_requests(site: str) -> None:
     async def scene() -> None:
         name = SITES[site]["classes"][0]["name"]
         bench = await bench_of(site, leaving := Server(), staying := Server())
@@ -306,8 +311,8 @@
 @pytest.mark.parametrize(
     ("old", "new"), zip(SITES, [*list(SITES)[1:], next(iter(SITES))], strict=True)
 )
-def test_a_reload_swaps_one_site_for_another(old: str, new: str) -> None:
-    """What is open keeps the class it came under; names that are not served any more are not known."""
+def test_a_reload_replaces_one_site_s_settings_by_another_s(old: str, new: str) -> None:
+    """Open requests keep their class; names of classes that are no longer served are unknown."""
 
     async def scene() -> None:
         go_on = asyncio.Event()
@@ -350,8 +355,8 @@
 
 
 @pytest.mark.parametrize("site", SITES)
-def test_the_simulator_s_side_keeps_the_effects_too(site: str) -> None:
-    """An error of the server: an unsafe call fails, and none but safe and keyed ones are sent again."""
+def test_the_simulator_respects_the_effects_as_well(site: str) -> None:
+    """After a server's error, an unsafe request fails, and only safe and keyed ones are sent again."""
     env = settings(**SITES[site])
     columns = len((env["report"] or {}).get("columns", ()))
     for number, c in enumerate(env["classes"]):
@@ -371,13 +376,13 @@
         assert again or reply[4:5] in (
             b"\x42",
             b"\x43",
-        )  # refused or failed, and at once
+        )  # rejected or failed immediately
         assert reply[4:5] != b"\x42" or c["effect"] == SAFE
 
 
 # ---- no deployment in the program -------------------------------------------------------------------------
 
-# Names of the users' sites, which lie beside the repository; those of our own are read from `deploy/sites`.
+# Names of the users' sites, which are not in the repository; the project's own are read from `deploy/sites`.
 USERS = [
     *(
         "rimouski",
@@ -417,12 +422,12 @@
         "records",
     ),
 ]
-# Words of deployments that are also this program's own, with another meaning.
+# Names of deployments that the program uses as well, with another meaning.
 WORDS = {"records", "ledger", "front", "counter", "book"}
 
 
 def names_of(table: dict[str, Any]) -> Iterator[str]:
-    """Site, zones, tiers, kinds, classes and tenants of a settings file."""
+    """Iterates over the site, zones, tiers, kinds, classes and tenants of a settings file."""
     yield table["name"]
     yield from table.get("net", {}).get("zones", ())
     for tier in table.get("tier", ()):
@@ -433,11 +438,11 @@
 
 
 def test_no_deployment_is_named_in_the_program_or_the_deploy_files() -> None:
-    """Failure prevented: a limit, a cost or an effect goes by the name that a class has at one customer.
+    """Failure prevented: a limit, a cost or an effect depends on the name that a class has at one customer.
 
-    Whole words anywhere in the text, comments too; a name that could be an ordinary word only where it is a
-    text constant of the code. `scenarios/` is left out: the lab's own worlds have such names there, which no
-    node reads.
+    Names are searched as complete words in the entire text, including comments. A name that could be an
+    ordinary word is searched only in string constants of the code. `scenarios/` is left out: the lab's own
+    settings have such names, and no node reads them.
     """
     known = set(USERS)
     sites = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
--- a/tests/test_discovery_silence.py
+++ b/tests/test_discovery_silence.py
@@ -1,7 +1,7 @@
-"""Calls to discovery that fail in any way, and the time until the list is in hand once it can be reached.
+"""Calls to discovery that fail in various ways, and the time until a change arrives after the recovery.
 
-`Agent` breaks calls at a stated call or event, and never answers what it broke. The moment from
-which time counts is that of the last broken call, so the node has just begun to wait: the worst there is.
+`Agent` breaks calls from a given one on, and never answers a broken call. Times are measured from the last
+broken call, when the node has just started to wait, which is the worst case.
 """
 
 from __future__ import annotations
@@ -31,10 +31,11 @@
 from loadbalancer.node.discovery.endpoint_list_codec import LongListing, decode
 from loadbalancer.policy.api import ListUpdateKind
 
-WAIT = WATCH_WAIT_MS / 1000
-TOLD, MOVED = 6.0, 4.0  # seconds after which a change counts as told, and after a move
-GRACE = 0.4  # of these are left to stop sending
-SLACK = 1.0  # for a machine that is busy with other tests
+WATCH_WAIT_S = WATCH_WAIT_MS / 1000
+# Seconds within which a change must be applied: usually, and after a move to another address.
+CHANGE_LIMIT_S, MOVE_LIMIT_S = 6.0, 4.0
+STOP_SENDING_S = 0.4  # of these limits, to stop sending to a server
+SLACK_S = 1.0  # for a machine that is busy with other tests
 MANY = 800  # servers in a long list
 
 
@@ -45,7 +46,7 @@
 
 
 class Agent:
-    """An agent of discovery at one port. It answers `first` calls, and breaks the others until `mend`."""
+    """A discovery agent that answers the first `first` calls, and breaks the others until `recover`."""
 
     def __init__(self, first=0, fault=None, version=41, servers=()):
         self.first, self.fault, self.version, self.servers = (
@@ -63,7 +64,7 @@
         return self
 
     def stop(self):
-        """Refuses connections and resets those that stand, as a process that has died."""
+        """Refuses connections and resets open ones, like a process that has died."""
         self.server.close()
         for writer in self.writers:
             if not writer.is_closing():
@@ -98,8 +99,8 @@
         news = int(values["since"]) != self.version
         return answer(self.version, news, *(self.servers if news else ()))
 
-    def mend(self, version, *servers):
-        """Has a change, and answers from now on whoever asks anew."""
+    def recover(self, version, *servers):
+        """Applies a change, and answers all new calls from now on."""
         self.fault, self.version, self.servers = None, version, list(servers)
         self.changed.set()
         self.changed = asyncio.Event()
@@ -109,11 +110,11 @@
     pass
 
 
-async def half(writer):
+async def half_an_answer(writer):
     writer.write(answer(41, False)[:-9])
 
 
-async def no_end(writer):
+async def without_end(writer):
     writer.write(b"HTTP/1.1 200 OK\r\n\r\n{")
 
 
@@ -121,7 +122,7 @@
     writer.write(b"HTTP/1.1 100 Continue\r\n")
 
 
-async def drip(writer):
+async def byte_by_byte(writer):
     for byte in b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n" + b" " * 99:
         if writer.is_closing():
             return
@@ -129,7 +130,7 @@
         await asyncio.sleep(0.1)
 
 
-async def breaks(writer):
+async def resets(writer):
     reset(writer)
 
 
@@ -137,7 +138,7 @@
     writer.close()
 
 
-def says(data, end=None):
+def sends(data, end=None):
     async def fault(writer):
         writer.write(data)
         if end == "reset":
@@ -148,37 +149,41 @@
 
 
 def body(text):
-    return says(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
+    return sends(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
 
 
 QUIET = {
     "silent": silent,
-    "half an answer": half,
-    "no length, no end": no_end,
+    "half an answer": half_an_answer,
+    "no length, no end": without_end,
     "half a head": interim,
 }
 QUICK = {
-    "reset": breaks,
+    "reset": resets,
     "closed": closes,
-    "garbage": says(b"\0\xff\r\n\r\n"),
-    "another status": says(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-    "another protocol": says(
+    "garbage": sends(b"\0\xff\r\n\r\n"),
+    "another status": sends(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+    "another protocol": sends(
         b"HTTP/1.1 101 Go\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"
     ),
     "not JSON": body(b"<html>"),
     "changes with no version": body(b'{"full": false, "servers": []}'),
     "wrong types": body(b'{"version": "42", "full": 1, "servers": {}}'),
     "a bad line": body(b'{"version": 42, "full": true, "servers": [{"id": 1}]}'),
-    "two answers": says(answer(41, False) * 2),
-    "no length, reset": says(
+    "two answers": sends(answer(41, False) * 2),
+    "no length, reset": sends(
         b'HTTP/1.1 200 OK\r\n\r\n{"version": 42, "full": true, "servers": [', "reset"
     ),
 }
-FAULTS = QUIET | QUICK | {"by the byte": drip, "refused": None, "never comes up": None}
+FAULTS = (
+    QUIET
+    | QUICK
+    | {"by the byte": byte_by_byte, "refused": None, "never comes up": None}
+)
 
 
 async def down(agent, how):
-    """Takes the agent away, so that connections are refused or never come up; gives what brings it back."""
+    """Stops the agent so that connections are refused or never established; returns what restarts it."""
     agent.stop()
     await agent.server.wait_closed()
     held = []
@@ -202,7 +207,7 @@
 
 
 async def time_to_list(name, mode, calls):
-    """Seconds from the moment at which discovery can be reached to its list in hand."""
+    """Returns the seconds from the recovery of discovery to the arrival of its list."""
     agent = Agent(1, FAULTS[name])
     bench = Bench(
         Server(), config={"discovery": f"127.0.0.1:{agent.port}"}, discovery=mode
@@ -220,10 +225,10 @@
         await back()
     else:
         await until(lambda: agent.broken == calls)
-    began = loop.time()
-    agent.mend(42, new.entry("s1"))
+    started_at = loop.time()
+    agent.recover(42, new.entry("s1"))
     await until(lambda: node.discovery.reader.version == 42)
-    time = loop.time() - began
+    time = loop.time() - started_at
     assert (await bench.once(call()))[0] == 200
     assert new.requests
     node.discovery.stop()
@@ -232,8 +237,8 @@
 
 
 def limit(name, calls):
-    """The part of the bound that this fault can use."""
-    wait = WAIT if calls == 1 else 0.0  # the first call that breaks is a watch
+    """Returns the seconds of the bound that this fault can use."""
+    wait = WATCH_WAIT_S if calls == 1 else 0.0  # the first broken call is a watch
     if name == "by the byte":
         return wait + ANSWER_TIMEOUT_S
     return (
@@ -246,24 +251,26 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-async def test_the_list_is_in_hand_soon_after_discovery_can_be_reached(name):
-    """Failure prevented: failed calls are followed by longer and longer pauses, or longer patience, and a
-    change that counts as told is not in hand when discovery is back.
+async def test_a_change_arrives_soon_after_discovery_recovers(name):
+    """Failure prevented: pauses or timeouts grow with each failed call, and a change arrives too late after
+    discovery has recovered.
     """
     outages = (1,) if name == "by the byte" else (1, 4)  # calls that break
     cases = [(mode, calls) for mode in ("push", "ask") for calls in outages]
     times = await asyncio.gather(*(time_to_list(name, *case) for case in cases))
     found = dict(zip(cases, times, strict=True))
     assert all(
-        time < limit(name, calls) + SLACK for (_, calls), time in found.items()
+        time < limit(name, calls) + SLACK_S for (_, calls), time in found.items()
     ), found
 
 
-def test_the_bound_leaves_the_grace_before_a_change_counts():
-    """The derivation at its edges: each constant that a call can use up is in it, and nothing grows."""
-    assert propagation_bound_s() + GRACE < TOLD
-    assert propagation_bound_s(0.0) + GRACE < MOVED
-    assert propagation_bound_s() - propagation_bound_s(0.0) == pytest.approx(WAIT)
+def test_the_bound_leaves_time_to_stop_sending():
+    """The bound includes each time that a call can take, and does not grow with the number of failures."""
+    assert propagation_bound_s() + STOP_SENDING_S < CHANGE_LIMIT_S
+    assert propagation_bound_s(0.0) + STOP_SENDING_S < MOVE_LIMIT_S
+    assert propagation_bound_s() - propagation_bound_s(0.0) == pytest.approx(
+        WATCH_WAIT_S
+    )
     for name in FAULTS:
         assert (
             limit(name, 1) + RETRY_INTERVAL_S + AGENT_ANSWER_S <= propagation_bound_s()
@@ -273,25 +280,25 @@
         ) + RETRY_INTERVAL_S + AGENT_ANSWER_S <= propagation_bound_s(0.0)
 
 
-async def test_failures_one_upon_another_stay_within_the_bound():
-    """A watch that comes by the byte as long as it may, then a reset: the worst that the bound allows for."""
+async def test_consecutive_failures_stay_within_the_bound():
+    """A watch that arrives byte by byte until its timeout, then a reset: the worst case of the bound."""
 
     async def one_upon_another(writer):
-        await (drip if agent.broken == 1 else breaks)(writer)
+        await (byte_by_byte if agent.broken == 1 else resets)(writer)
 
     agent = await Agent(1, one_upon_another).start()
     config = {"discovery": f"127.0.0.1:{agent.port}"}
     node = (await Bench(Server(), config=config, discovery="push").start()).node
     await until(lambda: agent.broken == 1)
-    began = node.loop.time()
+    started_at = node.loop.time()
     await until(lambda: agent.broken == 2)
-    agent.mend(42)
+    agent.recover(42)
     await until(lambda: node.discovery.reader.version == 42)
-    assert node.loop.time() - began < propagation_bound_s() + SLACK
+    assert node.loop.time() - started_at < propagation_bound_s() + SLACK_S
 
 
-async def test_calls_do_not_pile_up_and_one_held_back_is_heard():
-    """Failure prevented: an outage uses up descriptors, or an agent that answers late is never heard."""
+async def test_the_number_of_calls_is_limited_and_a_late_answer_is_accepted():
+    """Failure prevented: an outage uses up descriptors, or a late answer of an agent is never accepted."""
     agent = await Agent().start()
     held = []
 
@@ -304,15 +311,15 @@
     await until(lambda: len(held) >= MAX_CALLS + 3)
     assert len(node.discovery.calls) <= MAX_CALLS
     assert len(node.discovery.calls) > 1
-    heard = held[-2]  # the newest but one
+    heard = held[-2]  # the second newest
     heard.write(answer(42, True))
     await until(lambda: node.discovery.reader.version == 42)
     ends = [call.transport.get_extra_info("sockname") for call in node.discovery.calls]
     assert ends == [heard.get_extra_info("peername")]
 
 
-async def test_calls_that_all_bring_something_do_not_pile_up(monkeypatch):
-    """Failure prevented: lists that come for ever, each followed by the next call, use up descriptors."""
+async def test_the_number_of_calls_that_receive_bytes_is_limited(monkeypatch):
+    """Failure prevented: endless lists, each followed by the next call, use up descriptors."""
     monkeypatch.setattr(call_module, "ANSWER_TIMEOUT_S", 0.1)
     monkeypatch.setattr(client_module, "ANSWER_TIMEOUT_S", 0.1)
 
@@ -326,46 +333,46 @@
     config = {"discovery": f"127.0.0.1:{agent.port}"}
     node = (await Bench(Server(), config=config, discovery="push").start()).node
     await until(lambda: agent.broken >= MAX_CALLS)
-    began = node.loop.time()
-    await until(lambda: node.loop.time() > began + 4 * SILENCE_S)
+    started_at = node.loop.time()
+    await until(lambda: node.loop.time() > started_at + 4 * SILENCE_S)
     assert len(node.discovery.calls) == MAX_CALLS
 
 
-async def test_a_connection_that_is_closed_between_calls_is_no_failure():
-    """Failure prevented: the agent ends idle connections; a call on one is lost, and is made again late."""
+async def test_a_connection_that_is_closed_between_calls_is_replaced_without_delay():
+    """Failure prevented: the agent closes idle connections, and a call lost with one is repeated late."""
     agent = await Agent().start()
     config = {"discovery": f"127.0.0.1:{agent.port}"}
     node = (await Bench(Server(), config=config, discovery="push").start()).node
     await until(lambda: len(agent.targets) == 2)  # the watch
     await asyncio.sleep(RETRY_INTERVAL_S)
-    began = node.loop.time()
+    started_at = node.loop.time()
     agent.writers[0].close()
     await until(lambda: agent.connections == 2)
-    assert node.loop.time() - began < RETRY_INTERVAL_S
+    assert node.loop.time() - started_at < RETRY_INTERVAL_S
 
 
 @pytest.mark.parametrize("how", ["empty", "whole", "closes"])
-async def test_an_agent_that_does_not_wait_is_not_asked_without_a_pause(how):
-    """Failure prevented: the node spends its time on asking what has not changed."""
+async def test_an_agent_that_does_not_wait_is_called_with_pauses(how):
+    """Failure prevented: the node spends its time on calls for a list that has not changed."""
     data = answer(
         41, how == "whole", head=b"Connection: close\r\n" if how == "closes" else b""
     )
-    agent = await Agent(0, says(data)).start()
+    agent = await Agent(0, sends(data)).start()
     config = {"discovery": f"127.0.0.1:{agent.port}"}
     node = (await Bench(Server(), config=config, discovery="push").start()).node
     await until(lambda: agent.targets)
-    began = node.loop.time()
+    started_at = node.loop.time()
     await until(lambda: len(agent.targets) >= 6)
-    assert node.loop.time() - began > 1.5 * RETRY_INTERVAL_S
+    assert node.loop.time() - started_at > 1.5 * RETRY_INTERVAL_S
 
 
 async def test_an_answer_without_a_length_ends_with_its_connection():
-    async def told(writer):
+    async def send_list(writer):
         writer.write(answer(42, True, new.entry("s1"), length=False))
         writer.close()
 
     await (new := Server()).start()
-    agent = await Agent(0, told).start()
+    agent = await Agent(0, send_list).start()
     bench = await Bench(
         Server(), config={"discovery": f"127.0.0.1:{agent.port}"}
     ).start()
@@ -374,8 +381,8 @@
     assert new.requests
 
 
-async def test_an_agent_that_numbers_anew_has_its_whole_list_taken():
-    """Failure prevented: it is asked for ever what is newer than a number that it will not reach."""
+async def test_the_full_list_of_an_agent_with_new_version_numbers_is_applied():
+    """Failure prevented: the agent is asked forever for changes since a version that it does not reach."""
     await (new := Server()).start()
 
     async def numbers(request, writer):
@@ -391,8 +398,8 @@
     assert not old.requests
 
 
-async def test_a_silent_poll_is_given_up_and_the_next_doubt_asks_again():
-    """Failure prevented: one poll that is never answered keeps all further ones from being made."""
+async def test_a_silent_poll_is_ended_and_the_next_one_is_made():
+    """Failure prevented: one poll that is never answered prevents all further ones."""
     writers = []
 
     async def hold(writer):
@@ -415,9 +422,9 @@
 
 
 @pytest.mark.parametrize("end", ["no news", "reset", "unreadable"])
-async def test_a_poll_that_brought_news_goes_on_as_the_watch(end):
-    """Failure prevented: the poll takes the watch's place and is then ended like a poll, so that the node
-    asks for nothing more, and calls servers that drain until a listed one turns it away again.
+async def test_a_poll_that_brought_news_continues_as_the_watch(end):
+    """Failure prevented: the poll replaces the watch and is then ended as a poll, so that the node makes no
+    further call, and uses draining servers until a listed one rejects a request again.
     """
     await (server := Server()).start()
     agent = await Agent(0, None, 41, [server.entry("s0")]).start()
@@ -431,7 +438,7 @@
     agent.version, agent.servers = (
         42,
         [server.entry("s0"), server.entry("s1")],
-    )  # the watch is not told
+    )  # the watch gets no answer
     discovery.poll_if_due()
     await until(
         lambda: (
@@ -448,16 +455,16 @@
     else:
         agent.writers[-1].write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{")
         await until(lambda: discovery.reader.dropped_answers)
-    agent.mend(43, server.entry("s0", "draining"))
+    agent.recover(43, server.entry("s0", "draining"))
     await until(lambda: discovery.reader.version == 43)
 
 
-# ---- answers that overtake each other ----------------------------------------------------------------
+# ---- answers out of order ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("full", [True, False])
 async def test_an_older_answer_does_not_undo_a_newer_one(full):
-    """Failure prevented: the answer to a poll crosses the watch's, and drained servers are back."""
+    """Failure prevented: the answers to a poll and the watch cross, and drained servers are restored."""
     await (old := Server()).start()
     writers = []
 
@@ -483,22 +490,26 @@
 
 
 @pytest.mark.parametrize("calls", [1, 4])
-async def test_what_a_moved_discovery_has_is_in_hand_within_its_bound(calls):
-    """Failure prevented: the first calls at the new address are silent, and 4 s are over."""
+async def test_the_list_of_a_moved_discovery_arrives_within_its_bound(calls):
+    """Failure prevented: the first calls at the new address are silent, and the limit of 4 s passes."""
     await (new := Server()).start()
     bench = await Bench(Server()).start()
     agent = await Agent(0, silent, 3, [new.entry("s1")]).start()
     bench.node.discovery.move_to(("127.0.0.1", agent.port))
     await until(lambda: agent.broken == calls)
-    began = bench.node.loop.time()
-    agent.mend(3, new.entry("s1"))
+    started_at = bench.node.loop.time()
+    agent.recover(3, new.entry("s1"))
     await until(lambda: bench.node.discovery.reader.version == 3)
-    assert bench.node.loop.time() - began < SILENCE_S + SLACK < propagation_bound_s(0.0)
+    assert (
+        bench.node.loop.time() - started_at
+        < SILENCE_S + SLACK_S
+        < propagation_bound_s(0.0)
+    )
     assert agent.targets[0] == "/v1/endpoints"
 
 
-async def test_nothing_that_the_old_address_had_out_is_heard_after_a_move():
-    """Failure prevented: an answer that was asked for elsewhere is taken for the new address's."""
+async def test_answers_of_the_old_address_are_ignored_after_a_move():
+    """Failure prevented: an answer of the old address is applied as one of the new address."""
     writers = []
 
     async def hold(writer):
@@ -514,13 +525,13 @@
     discovery.fetch()
     discovery.poll_if_due()
     await until(lambda: len(writers) == 3)
-    told, versions = discovery.reader.on_list, []
+    deliver, versions = discovery.reader.on_list, []
 
-    def tell(listing, more=False):
-        told(listing, more)
+    def on_list(listing, more=False):
+        deliver(listing, more)
         versions.extend([listing.version] if listing is not None else [])
 
-    discovery.reader.on_list = tell
+    discovery.reader.on_list = on_list
     after = await Agent(0, None, 3, [new.entry("s1")]).start()
     for address in (
         9,
@@ -538,31 +549,31 @@
 
 
 @pytest.mark.parametrize("length", [1, MANY])
-@pytest.mark.parametrize("stage", ["checked", "told"])
+@pytest.mark.parametrize("stage", ["checked", "delivered"])
 async def test_a_move_while_a_long_list_is_read_leaves_only_the_new_list(stage, length):
-    """Failure prevented: the rest of the old address's list is told after the new one, which it ends and
-    replaces; or what had been told of it stays.
+    """Failure prevented: the remaining parts of the old address's list are delivered after the new list, and
+    replace it; or the parts delivered before the move stay.
     """
     bench = await Bench(old := Server()).start()
     await (new := Server()).start()
     agent = await Agent(0, None, 3, [new.entry(f"n{i}") for i in range(length)]).start()
-    node, told, parts, after = (
+    node, deliver, parts, after = (
         bench.node,
         bench.node.discovery.reader.on_list,
         [],
         set(),
     )
 
-    def tell(listing, more=False):
-        told(listing, more)
+    def on_list(listing, more=False):
+        deliver(listing, more)
         if listing is not None and node.discovery.address[1] == agent.port:
             after.add(listing.version)
         if more:
             parts.append(listing)
-            if len(parts) == 3 and stage == "told":
+            if len(parts) == 3 and stage == "delivered":
                 node.discovery.move_to(("127.0.0.1", agent.port))
 
-    node.discovery.reader.on_list = tell
+    node.discovery.reader.on_list = on_list
     entries = [old.entry(f"o{i}") for i in range(MANY)]
     text = json.dumps({"version": 99, "full": True, "servers": entries}).encode()
     node.discovery.reader.read(bytearray(text), lambda usable: None)
@@ -572,7 +583,7 @@
     await until(
         lambda: node.discovery.reader.version == 3 and not node.discovery.reader.tasks
     )
-    assert after == {3}  # nothing of the old list
+    assert after == {3}  # no part of the old list
     assert len(node.listed) == len(node.balancer.subset.endpoint_list) == length
     old.requests.clear()
     for _ in range(5):
@@ -581,8 +592,8 @@
     assert not node.discovery.reader.partial_list
 
 
-async def test_a_long_list_that_late_calls_bring_as_well_is_read_once():
-    """Failure prevented: an agent is slow, the list comes once for each call, and is told as often."""
+async def test_a_long_list_that_several_calls_bring_is_read_once():
+    """Failure prevented: a slow agent sends the list once for each call, and each one is delivered."""
     writers = []
 
     async def hold(writer):
@@ -591,13 +602,13 @@
     await (new := Server()).start()
     agent = await Agent(0, hold).start()
     bench = await Bench(Server()).start()
-    told, names = bench.node.discovery.reader.on_list, []
+    deliver, names = bench.node.discovery.reader.on_list, []
 
-    def tell(listing, more=False):
-        told(listing, more)
+    def on_list(listing, more=False):
+        deliver(listing, more)
         names.extend(line.id for line in listing.lines) if listing is not None else None
 
-    bench.node.discovery.reader.on_list = tell
+    bench.node.discovery.reader.on_list = on_list
     bench.node.discovery.move_to(("127.0.0.1", agent.port))
     await until(lambda: len(writers) == 3)
     for writer in writers:
@@ -608,19 +619,19 @@
     assert len(names) == MANY
 
 
-async def test_changes_are_heard_while_a_long_list_is_taken():
-    """Failure prevented: no watch is open until the last part of a long list is told."""
+async def test_changes_are_applied_while_a_long_list_is_delivered():
+    """Failure prevented: no watch is open until the last part of a long list is delivered."""
     bench = await Bench(Server()).start()
     await (new := Server()).start()
-    parts, told = [], bench.node.discovery.reader.on_list
+    parts, deliver = [], bench.node.discovery.reader.on_list
 
-    def tell(listing, more=False):
-        told(listing, more)
+    def on_list(listing, more=False):
+        deliver(listing, more)
         parts.append((listing.kind, more))
         if len(parts) == 3:
             bench.discovery.say(43, False, new.entry("n7", "draining"))
 
-    bench.node.discovery.reader.on_list = tell
+    bench.node.discovery.reader.on_list = on_list
     bench.discovery.say(42, True, *(new.entry(f"n{i}") for i in range(MANY)))
     await until(
         lambda: (
@@ -634,18 +645,18 @@
     assert len(bench.node.balancer.subset.endpoint_list) == MANY - 1
 
 
-async def test_a_short_whole_list_waits_for_a_long_one_that_is_told():
-    """Failure prevented: it ends the long one half-way, and the rest of that is taken for a list."""
+async def test_a_short_full_list_waits_for_a_long_one_that_is_delivered():
+    """Failure prevented: it ends the long list, whose remaining parts are then taken for another list."""
     bench = await Bench(Server()).start()
     await (new := Server()).start()
-    discovery, told, parts = (
+    discovery, deliver, parts = (
         bench.node.discovery,
         bench.node.discovery.reader.on_list,
         [],
     )
 
-    def tell(listing, more=False):
-        told(listing, more)
+    def on_list(listing, more=False):
+        deliver(listing, more)
         parts.append(listing)
         if len(parts) == 3:
             last = json.dumps(
@@ -653,7 +664,7 @@
             ).encode()
             discovery.reader.read(bytearray(last), lambda usable: None)
 
-    discovery.reader.on_list = tell
+    discovery.reader.on_list = on_list
     entries = [new.entry(f"n{i}") for i in range(MANY)]
     text = json.dumps({"version": 42, "full": True, "servers": entries}).encode()
     discovery.reader.read(bytearray(text), lambda usable: None)
@@ -661,34 +672,34 @@
     assert len(bench.node.listed) == len(bench.node.balancer.subset.endpoint_list) == 1
 
 
-async def test_nothing_is_asked_after_the_end():
-    """Failure prevented: a timer that was set before begins a call that nobody ends."""
+async def test_no_call_is_made_after_the_stop():
+    """Failure prevented: a timer that was set before the stop starts a call that is never ended."""
     bench = await Bench(Server()).start()
     discovery = bench.node.discovery
     discovery.stop()
-    acts = (
+    actions = (
         (discovery.watch, True),
         (discovery.move_to, discovery.address),
         (discovery.fetch,),
         (discovery.poll_if_due,),
     )
-    for act, *words in acts:
-        act(*words)
+    for action, *arguments in actions:
+        action(*arguments)
         assert not discovery.calls
         assert discovery.retry_timer is None
 
 
 @pytest.mark.parametrize("version", [(1 << 53) + 1, 1_764_000_000_123_456_789, 41.0])
-def test_a_version_is_taken_exactly(version):
-    """Failure prevented: a large one is rounded, and news after a version that never was is missed."""
+def test_a_version_is_decoded_exactly(version):
+    """Failure prevented: a large version is rounded, and changes since one that never existed are missed."""
     text = json.dumps({"version": version, "full": True, "servers": []}).encode()
     long = LongListing(text)
     list(long.check(1))
     assert decode(text).version == long.version == int(version)
 
 
-async def test_a_process_is_ready_once_a_long_list_is_in_hand():
-    """Failure prevented: it says so at the first part, and sends to what the rest leaves out or drains."""
+async def test_a_process_is_ready_once_a_long_list_is_complete():
+    """Failure prevented: it is ready at the first part, and uses servers that later parts omit or drain."""
     await (new := Server()).start()
     bench = Bench(Server())
     entries = [new.entry(f"n{i}") for i in range(MANY)]
@@ -701,8 +712,8 @@
     assert len(node.listed) == MANY
 
 
-def test_a_server_twice_and_a_new_one_at_an_old_address_are_read_as_they_stand():
-    """Discovery's word holds, line by line: what a name's last line says, and an address is no name."""
+def test_a_duplicate_server_and_a_duplicate_address_are_kept_as_sent():
+    """Entries are kept as discovery sends them; equal addresses do not make servers the same."""
     line = {"id": "s0", "addr": "h:80", "state": "ready"}
     entries = [line, line | {"state": "draining"}, line | {"id": "s1", "started_ms": 5}]
     listing = decode(
@@ -715,7 +726,7 @@
     ]
 
 
-async def test_a_name_drains_though_another_one_has_its_address():
+async def test_a_server_drains_although_another_one_has_its_address():
     bench = await Bench(config={"known": None}).start()
     await (server := Server()).start()
     lines = [
@@ -734,15 +745,17 @@
 
 # ---- the real program --------------------------------------------------------------------------------
 
-SOCKETS = 96  # descriptors that the process may have, by its settings and by the system
+SOCKETS = (
+    96  # descriptors that the process may use, by its settings or by the system's limit
+)
 
 
 @pytest.mark.parametrize("by", ["the settings", "the system"])
 async def test_idle_clients_leave_descriptors_to_discovery_servers_and_operators(
     by, tmp_path, monkeypatch
 ):
-    """Failure prevented: idle clients fill the descriptors while discovery is down, and at its return the
-    node can open no connection to it, nor to the servers that it names.
+    """Failure prevented: idle clients use all descriptors while discovery is down, and after its recovery
+    the node cannot open a connection to it, or to the servers that it names.
     """
     old, new = await Door().start(), await Server().start()
     agent = await Agent(0, silent).start()
@@ -761,10 +774,10 @@
     await program.start(ready=False, discovery="push")
     idle = []
     try:
-        await program.ready()  # though discovery is silent
+        await program.ready()  # although discovery is silent
         assert (
             program.descriptors() + MAX_CALLS + 2 <= RESERVED_SOCKETS
-        )  # with all calls to discovery out
+        )  # including all calls to discovery
         resource.prlimit(
             program.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS)
         )
@@ -775,11 +788,11 @@
             peak = max(peak, program.descriptors())
         broken = agent.broken
         await until(lambda: agent.broken >= broken + MAX_CALLS)
-        began = asyncio.get_running_loop().time()
-        agent.mend(42, new.entry("s1"))
+        started_at = asyncio.get_running_loop().time()
+        agent.recover(42, new.entry("s1"))
         await until(lambda: "since=42&" in agent.targets[-1])  # the list is in hand
-        assert asyncio.get_running_loop().time() - began < SILENCE_S + SLACK
-        while True:  # who is told that there is no room comes again
+        assert asyncio.get_running_loop().time() - started_at < SILENCE_S + SLACK_S
+        while True:  # a rejected client connects again
             client = await program.client()
             if (await client.ask(call()))[0] == 200:
                 break
@@ -797,7 +810,7 @@
 
 
 async def test_a_move_by_sighup_while_the_old_address_is_silent(tmp_path):
-    """SIGHUP twice in a row, the second back to what had been: the list in hand is the last address's."""
+    """After two SIGHUPs in a row, the second back to the first address, that address's list is in use."""
     await (old := Server()).start()
     await (new := Server()).start()
     first = await Agent(0, silent).start()
@@ -811,12 +824,12 @@
         broken = first.broken
         program.reload(discovery=f"127.0.0.1:{first.port}")
         await until(lambda: first.broken > broken)
-        began = asyncio.get_running_loop().time()
-        first.mend(1, new.entry("s1"))
+        started_at = asyncio.get_running_loop().time()
+        first.recover(1, new.entry("s1"))
         await until(lambda: "since=1&" in first.targets[-1])  # the list is in hand
         assert (
-            asyncio.get_running_loop().time() - began
-            < SILENCE_S + SLACK
+            asyncio.get_running_loop().time() - started_at
+            < SILENCE_S + SLACK_S
             < propagation_bound_s(0.0)
         )
         client = await program.client()
@@ -833,7 +846,7 @@
         second.stop()
 
 
-def test_constants_are_used_where_the_bound_is_derived():
-    """Each time that the module names is below what the bound makes of it."""
+def test_timeouts_are_consistent_with_the_bound():
+    """The module's timeouts are consistent with the bound."""
     assert call_module.LATE_CALL_LIFETIME_S >= SILENCE_S
     assert client_module.STARTUP_WAIT_S < client_module.STARTUP_WAIT_LIST_S < 10.0
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch of discovery in drawn sequences of calls and answers, in virtual time: it ends at nothing."""
+"""The discovery watch under generated sequences of calls and answers, in virtual time: it never ends."""
 
 from __future__ import annotations
 
@@ -23,12 +23,21 @@
 )
 
 SERVER = {"id": "s0", "addr": "127.0.0.1:9", "state": "ready"}
-REST = 2.5  # seconds without news, in which the watch is renewed
-HOWS = ("right", "right", "closing", "whole", "old", "unreadable", "refused", "half")
+QUIET_S = 2.5  # seconds without changes, in which the watch is renewed
+ANSWER_KINDS = (
+    "right",
+    "right",
+    "closing",
+    "whole",
+    "old",
+    "unreadable",
+    "refused",
+    "half",
+)
 
 
 class Handle:
-    """What is due, or begun."""
+    """A scheduled callback."""
 
     def __init__(self, call: Callable[[], None]) -> None:
         self.call: Callable[[], None] | None = call
@@ -38,7 +47,7 @@
 
 
 class Loop:
-    """A loop whose clock moves when it is told to."""
+    """An event loop with a virtual clock, which advances in `run`."""
 
     def __init__(self, agent: Agent) -> None:
         self.now = 1000.0
@@ -76,7 +85,7 @@
 
 
 class Task:
-    """Work that waits for nothing, done at the loop's next turn."""
+    """A coroutine that never waits; it runs at the loop's next iteration."""
 
     def __init__(self, loop: Loop, work: Coroutine[Any, Any, None]) -> None:
         self.work = work
@@ -93,7 +102,7 @@
 
 
 class Connection:
-    """The agent's side of one, and its transport on the node's side."""
+    """The agent's end of a connection, and the node's transport for it."""
 
     def __init__(self, agent: Agent, call: DiscoveryCall) -> None:
         self.agent = agent
@@ -102,19 +111,19 @@
 
     def write(self, data: bytes) -> None:
         self.query = parse_qs(urlsplit(data.split()[1].decode()).query)
-        self.agent.asked(self)
+        self.agent.on_request(self)
 
     def abort(self) -> None:
         self.open = False
-        if self in self.agent.owed:
-            self.agent.owed.remove(self)
+        if self in self.agent.unanswered:
+            self.agent.unanswered.remove(self)
 
     def reset(self) -> None:
         self.abort()
         self.call.connection_lost(ConnectionResetError())
 
-    def say(self, how: str) -> None:
-        """Answers as the agent has it now, or in another way."""
+    def send_answer(self, how: str) -> None:
+        """Sends an answer of a kind of ANSWER_KINDS; "right" has the agent's present list."""
         since, newest = int(self.query.get("since", ["-1"])[0]), self.agent.version
         table = {
             "version": newest,
@@ -139,26 +148,26 @@
         if how == "half":
             data = data[:-5]
         else:
-            self.agent.owed.remove(self)
+            self.agent.unanswered.remove(self)
         self.call.data_received(data)
 
 
 class Agent:
-    """An agent that answers as the sequence says, and once it is `well` whoever asks from then on."""
+    """An agent that answers as the sequence says; once it is `healthy`, it answers all new calls."""
 
     def __init__(self) -> None:
         self.version = 41
-        self.down = self.well = False
-        self.owed: list[Connection] = []
+        self.down = self.healthy = False
+        self.unanswered: list[Connection] = []
         self.loop = Loop(self)
 
-    def asked(self, connection: Connection) -> None:
-        self.owed.append(connection)
-        if self.well:
+    def on_request(self, connection: Connection) -> None:
+        self.unanswered.append(connection)
+        if self.healthy:
             self.loop.call_later(AGENT_ANSWER_S / 2, self.answer, connection, False)
 
     def answer(self, connection: Connection, waited: bool) -> None:
-        if not connection.open or connection not in self.owed:
+        if not connection.open or connection not in self.unanswered:
             return
         wait = int(connection.query.get("timeout_ms", ["0"])[0]) / 1000
         if connection.query.get("since") == [str(self.version)] and wait and not waited:
@@ -166,7 +175,7 @@
                 wait - AGENT_ANSWER_S / 2, self.answer, connection, True
             )
         else:
-            connection.say("right")
+            connection.send_answer("right")
 
 
 class Log:
@@ -176,8 +185,8 @@
 
 event = st.one_of(
     st.tuples(st.just("run"), st.sampled_from((0.01, 0.05, 0.2, 0.4, 1.1, 2.0))),
-    st.tuples(st.just("answer"), st.integers(0, 5), st.sampled_from(HOWS)),
-    st.tuples(st.just("answer"), st.integers(0, 5), st.sampled_from(HOWS)),
+    st.tuples(st.just("answer"), st.integers(0, 5), st.sampled_from(ANSWER_KINDS)),
+    st.tuples(st.just("answer"), st.integers(0, 5), st.sampled_from(ANSWER_KINDS)),
     st.tuples(st.just("reset"), st.integers(0, 5)),
     st.tuples(st.just("down"), st.booleans()),
     st.tuples(st.sampled_from(("change", "change", "doubt", "doubt", "fetch"))),
@@ -185,22 +194,24 @@
 
 
 def play(events: list[tuple[Any, ...]]) -> None:
-    """Plays a sequence; then the agent is well, and each further change is in hand within the bound."""
+    """Runs a sequence; then the agent is healthy, and each further change must arrive within the bound."""
     agent = Agent()
     loop = agent.loop
     discovery = DiscoveryClient(
         loop, ("127.0.0.1", 1), 41, lambda listing, more: None, Log()
     )  # type: ignore[arg-type]
     discovery.watch(True)
-    for what, *words in events:
+    for what, *arguments in events:
         if what == "run":
-            loop.run(words[0])
-        elif what == "answer" and agent.owed:
-            agent.owed[words[0] % len(agent.owed)].say(words[1])
-        elif what == "reset" and agent.owed:
-            agent.owed[words[0] % len(agent.owed)].reset()
+            loop.run(arguments[0])
+        elif what == "answer" and agent.unanswered:
+            agent.unanswered[arguments[0] % len(agent.unanswered)].send_answer(
+                arguments[1]
+            )
+        elif what == "reset" and agent.unanswered:
+            agent.unanswered[arguments[0] % len(agent.unanswered)].reset()
         elif what == "down":
-            agent.down = words[0]
+            agent.down = arguments[0]
         elif what == "change":
             agent.version += 1
         elif what == "doubt":
@@ -208,20 +219,24 @@
         elif what == "fetch":
             discovery.fetch()
         assert len(discovery.calls) <= MAX_CALLS + 2
-    agent.down, agent.well = False, True
-    for rest in (0.0, REST, REST):
-        loop.run(rest)
+    agent.down, agent.healthy = False, True
+    for quiet_s in (0.0, QUIET_S, QUIET_S):
+        loop.run(quiet_s)
         agent.version += 1
-        began = loop.time()
+        started_at = loop.time()
         loop.run(10.0, lambda: discovery.reader.version == agent.version)
-        assert discovery.reader.version == agent.version, "nothing is asked any more"
-        assert loop.time() - began <= propagation_bound_s(WATCH_WAIT_MS / 1000) + 1e-6
+        assert discovery.reader.version == agent.version, (
+            "the change did not arrive: the client makes no calls"
+        )
+        assert (
+            loop.time() - started_at <= propagation_bound_s(WATCH_WAIT_MS / 1000) + 1e-6
+        )
         assert len(discovery.calls) <= MAX_CALLS + 2
 
 
 @settings(derandomize=True, max_examples=600, deadline=None)
 @given(st.lists(event, max_size=25), st.floats(0, 1))
-def test_a_watch_outlives_whatever_its_calls_bring(
+def test_the_watch_recovers_from_any_sequence_of_answers(
     events: list[tuple[Any, ...]], draw: float
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
@@ -229,8 +244,8 @@
         play(events)
 
 
-@pytest.mark.parametrize("how", sorted({*HOWS}))
-def test_a_poll_that_found_news_is_not_the_last_call(how: str) -> None:
-    """Failure prevented: it becomes the watch, and its next answer ends it as a poll."""
+@pytest.mark.parametrize("how", sorted({*ANSWER_KINDS}))
+def test_a_poll_that_brought_news_continues_as_the_watch(how: str) -> None:
+    """Failure prevented: the poll becomes the watch, and its next answer ends it as a poll."""
     play([("run", 0.01), ("answer", 0, "right"), ("change",), ("doubt",), ("run", 0.01)]
          + [("answer", 1, "right"), ("answer", 0, how)])  # fmt: skip
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Lists of thousands of servers, which a node reads and takes in parts while it serves."""
+"""Lists of thousands of servers, which a node reads and applies in parts while it serves requests."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 def many(server: Server, name: str, count: int = MANY):
-    """As many lines, all of which lead to one server."""
+    """Returns `count` entries with different names and the address of one server."""
     return [server.entry(f"{name}{i}") for i in range(count)]
 
 
-async def test_requests_are_served_while_a_long_list_is_taken_and_none_goes_to_what_it_leaves_out():
+async def test_requests_are_served_while_a_long_list_is_applied_and_only_to_listed_servers():
     bench = await Bench(old := Server()).start()
     await (new := Server()).start()
     bench.discovery.say(42, True, *many(new, "n"))
@@ -44,14 +44,14 @@
     assert served > 10
     assert len(old.requests) == seen
     assert len(bench.node.balancer.subset.endpoint_list) == MANY
-    # The watch goes on from there.
+    # The watch continues with the next changes.
     bench.discovery.say(43, False, new.entry("n7", "gone"))
     await until(lambda: len(bench.node.listed) == MANY - 1)
     assert len(bench.node.pool.endpoints) == MANY - 1
 
 
 @pytest.mark.parametrize("fault", ["cut short", "a bad line", "no version", "not JSON"])
-async def test_a_long_list_with_anything_wrong_changes_nothing(fault, capsys):
+async def test_an_invalid_long_list_changes_nothing(fault, capsys):
     bench = await Bench(old := Server()).start()
     await (new := Server()).start()
     lines = many(new, "n")
@@ -68,7 +68,9 @@
         if fault == "not JSON"
         else body
     )
-    await until(lambda: len(bench.discovery.requests) == 2)  # the watch begins anew
+    await until(
+        lambda: len(bench.discovery.requests) == 2
+    )  # the watch makes its next call
     assert len(bench.node.balancer.subset.endpoint_list) == 1
     assert bench.node.discovery.reader.version == 41
     assert (await bench.once(call()))[0] == 200
@@ -77,17 +79,17 @@
     assert "discovery response dropped reason=" in capsys.readouterr().err
 
 
-async def test_a_server_that_leaves_while_a_long_list_is_taken_stays_away():
-    """Failure prevented: a part of the list, read before the change came, brings a drained server back."""
+async def test_a_server_that_drains_while_a_long_list_is_applied_gets_no_requests():
+    """Failure prevented: a part of a list that is older than a change restores a drained server."""
     bench = await Bench(Server()).start()
     await (new := Server()).start()
     await (leaving := Server()).start()
     lines = [*many(new, "n"), leaving.entry("leaves")]
     node = bench.node
-    told, parts = node.discovery.reader.on_list, []
+    deliver, parts = node.discovery.reader.on_list, []
 
-    def tell(listing, more=False):
-        told(listing, more)
+    def on_list(listing, more=False):
+        deliver(listing, more)
         if listing is not None and more:
             parts.append(len(listing.lines))
             if len(parts) == 3:  # in the middle
@@ -102,7 +104,7 @@
                     bytearray(entries.encode()), lambda usable: None
                 )
 
-    node.discovery.reader.on_list = tell
+    node.discovery.reader.on_list = on_list
     bench.discovery.say(42, True, *lines)
     await until(lambda: node.listed is not None and len(node.listed) > MANY)
     client = await bench.client()
@@ -113,7 +115,7 @@
     assert len(parts) > 20
 
 
-async def test_a_whole_list_that_was_overtaken_while_it_was_read_is_passed_over():
+async def test_a_full_list_that_became_outdated_while_it_was_read_is_ignored():
     bench = await Bench(server := Server()).start()
     node, answers = bench.node, []
     old = {"version": 42, "full": True, "servers": many(server, "n")}
@@ -142,7 +144,7 @@
     st.sampled_from([None, 1]),
     st.data(),
 )
-def test_members_are_those_of_the_whole_decoder(table, indent, data):
+def test_members_are_the_same_as_those_of_json_loads(table, indent, data):
     text = json.dumps(table, indent=indent)
     expected = [
         (key, entry)
@@ -155,7 +157,7 @@
         list(iterate_members(text[:cut]))
 
 
-def test_parts_hold_all_lines_in_order():
+def test_parts_contain_all_entries_in_order():
     server = Server()
     server.port = 9
     listing = LongListing(
@@ -173,8 +175,8 @@
     assert {(part.kind, part.version) for part in parts} == {(ListUpdateKind.FULL, 3)}
 
 
-def taken_up(reader: EndpointListReader, body: bytes) -> Listing | None:
-    """An answer's list, with its version in hand from now on; None for one that cannot be used."""
+def read_answer(reader: EndpointListReader, body: bytes) -> Listing | None:
+    """Reads an answer and adopts its version; None if the answer cannot be used."""
     listing = reader.decode_short(bytearray(body))
     if listing is None:
         return None
@@ -182,23 +184,23 @@
     return None if news is None else listing
 
 
-def test_what_cannot_be_read_is_said_once_and_counted(capsys):
+def test_unreadable_answers_are_logged_once_and_counted(capsys):
     async def scene():
-        told = []
+        delivered = []
         watch = DiscoveryClient(
             asyncio.get_running_loop(),
             ("127.0.0.1", 9),
             41,
-            lambda *a: told.append(a),
+            lambda *a: delivered.append(a),
             Log("n0", 100),
         )
-        for _ in range(30):  # as many retries
-            assert taken_up(watch.reader, b"<html>") is None
+        for _ in range(30):  # retries
+            assert read_answer(watch.reader, b"<html>") is None
         assert watch.reader.dropped_answers == 30
         assert watch.reader.version == 41
-        assert not told
+        assert not delivered
         assert (
-            taken_up(watch.reader, b'{"version": 42, "full": true, "servers": []}')
+            read_answer(watch.reader, b'{"version": 42, "full": true, "servers": []}')
             is not None
         )
         assert watch.reader.dropped_answers == 0
@@ -222,8 +224,8 @@
         "s0 ::1 80 READY 2.0",
     ),
     "unknown state": (GOOD | {"state": "resting"}, "s0 ::1 80 DRAINING 1.0"),
-    "half a pair": (GOOD | {"id": "\ud800"}, "\ud800 ::1 80 READY 1.0"),
-    "NaN where nobody looks": (GOOD | {"later": float("nan")}, "s0 ::1 80 READY 1.0"),
+    "half a surrogate pair": (GOOD | {"id": "\ud800"}, "\ud800 ::1 80 READY 1.0"),
+    "NaN under an ignored key": (GOOD | {"later": float("nan")}, "s0 ::1 80 READY 1.0"),
     "no state": ({"id": "s0", "addr": "h:80"}, "list.servers[1].state: missing"),
     "null state": (GOOD | {"state": None}, "list.servers[1].state: expected"),
     "a port of 0": (GOOD | {"addr": "h:0"}, "list.servers[1].addr: not an address"),
@@ -231,16 +233,16 @@
         GOOD | {"weight": True},
         "list.servers[1].weight: expected",
     ),
-    "a weight that is none": (
+    "a weight of NaN": (
         GOOD | {"weight": float("nan")},
         "list.servers[1].weight: expected",
     ),
-    "a line that is a word": ("s0", "list.servers[1]: expected"),
+    "an entry that is a string": ("s0", "list.servers[1]: expected"),
 }
 
 
 @pytest.mark.parametrize("case", LENIENT)
-def test_lists_of_any_length_are_read_by_the_same_rules(case):
+def test_short_and_long_lists_are_validated_by_the_same_rules(case):
     line, words = LENIENT[case]
     body = json.dumps(
         {"version": 3, "full": None, "servers": [GOOD, line], "more": 1}
@@ -272,6 +274,6 @@
     "body",
     [b"", b"[]", b"{", b"\xff", b'{"servers":[]}', b'{"version":true,"servers":[]}'],
 )
-def test_what_is_no_list_is_told_as_one(body):
+def test_an_answer_that_is_not_a_list_raises_a_list_error(body):
     with pytest.raises(ListError, match="^list"):
         decode(body)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""What operators meet: the control listener, the figures, new settings and upgrades, over loopback."""
+"""The operators' interface: admin listener, metrics, configuration reload and upgrades, over loopback."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from program import connected, free_port, node_table, spawn
 from test_node import BROKEN, FULL, always
 
-from loadbalancer.node import admin as control_module
+from loadbalancer.node import admin as admin_module
 from loadbalancer.node.admin import MAX_CONNECTIONS, AdminServer
 from loadbalancer.node.config import ConfigError, find_missing_key, load
 from loadbalancer.node.lifecycle.reload import ClassTable
@@ -28,7 +28,7 @@
 async def ask(
     port: int, path: str, method: str = "GET"
 ) -> tuple[int, Mapping[str, str], dict]:
-    """One call to the control listener: status, headers, decoded body; the connection ends after it."""
+    """Calls the admin listener; returns status, headers and decoded body, and checks that it closes."""
     async with aiohttp.request(method, f"http://127.0.0.1:{port}{path}") as answer:
         assert answer.headers["Connection"] == "close"
         return (
@@ -38,22 +38,22 @@
         )
 
 
-def port_of(bench: Bench) -> int:
+def admin_port(bench: Bench) -> int:
     assert bench.node.control is not None
     return bench.node.control.port
 
 
-# ---- control -----------------------------------------------------------------------------------------
+# ---- admin listener ----------------------------------------------------------------------------------
 
 
-async def test_health_says_yes_only_while_clients_are_taken():
+async def test_health_is_200_only_while_clients_are_accepted():
     bench = await Bench(Server(), config=CONTROL | {"known": None}).start()
-    assert (await ask(port_of(bench), "/admin/health"))[0] == 503  # no list yet
+    assert (await ask(admin_port(bench), "/admin/health"))[0] == 503  # no list yet
     bench.discovery.say(1, True, bench.servers[0].entry("s0"))
     await until(lambda: bench.node.listed is not None)
-    assert (await ask(port_of(bench), "/admin/health"))[0] == 200
+    assert (await ask(admin_port(bench), "/admin/health"))[0] == 200
     bench.node.client_listener.draining = True
-    assert (await ask(port_of(bench), "/admin/health"))[0] == 503
+    assert (await ask(admin_port(bench), "/admin/health"))[0] == 503
 
 
 @pytest.mark.parametrize(
@@ -72,35 +72,37 @@
 )
 async def test_a_call_gets_its_status_and_the_connection_ends(data, status):
     bench = await Bench(Server(), config=CONTROL).start()
-    client = await Client(port_of(bench)).open()
+    client = await Client(admin_port(bench)).open()
     assert (await client.ask(data))[0] == status
     assert await client.ended()
 
 
-async def test_callers_that_stall_and_a_full_client_table_delay_nobody():
+async def test_stalled_operators_and_a_full_client_table_delay_no_operator():
     bench = await Bench(Server(), config=CONTROL | {"limits": {"sockets": 72}}).start()
-    crowd = []
+    clients = []
     for _ in range(30):
-        crowd.append(client := await bench.client())
+        clients.append(client := await bench.client())
         client.send(b"GET /view HTTP/1.1\r\n")
         await until(
-            lambda: len(bench.node.client_listener.connections) >= min(len(crowd), 8)
+            lambda: len(bench.node.client_listener.connections) >= min(len(clients), 8)
         )
     await until(lambda: not bench.node.client_listener.accepting)  # the table is full
-    stalled = [await Client(port_of(bench)).open() for _ in range(2 * MAX_CONNECTIONS)]
+    stalled = [
+        await Client(admin_port(bench)).open() for _ in range(2 * MAX_CONNECTIONS)
+    ]
     for client in stalled:
         client.send(b"GET /admin/he")
-    assert (await ask(port_of(bench), "/admin/stats"))[0] == 200
+    assert (await ask(admin_port(bench), "/admin/stats"))[0] == 200
     assert bench.node.control is not None
     assert len(bench.node.control.connections) <= MAX_CONNECTIONS
-    for client in (*stalled, *crowd):
+    for client in (*stalled, *clients):
         client.writer.close()
 
 
-async def test_a_call_that_never_comes_whole_is_given_up(monkeypatch):
-    monkeypatch.setattr(control_module, "REQUEST_TIMEOUT_S", 0.05)
+async def test_a_call_that_is_never_complete_times_out(monkeypatch):
+    monkeypatch.setattr(admin_module, "REQUEST_TIMEOUT_S", 0.05)
     bench = await Bench(Server(), config=CONTROL).start()
-    client = await Client(port_of(bench)).open()
+    client = await Client(admin_port(bench)).open()
     client.send(b"GET /admin/he")
     assert (await client.receive())[0] == 408
     assert await client.ended()
@@ -109,7 +111,7 @@
     await until(lambda: not bench.node.control.connections)
 
 
-async def test_without_a_control_address_nothing_more_listens():
+async def test_without_a_control_address_there_is_no_admin_listener():
     bench = await Bench(Server()).start()
     assert bench.node.control is None
     assert (await bench.once(call()))[0] == 200
@@ -133,46 +135,46 @@
         load(environ | {"LB_ACCEPT_FD": "x"})
 
 
-# ---- figures -----------------------------------------------------------------------------------------
+# ---- metrics -----------------------------------------------------------------------------------------
 
 
-async def test_each_end_is_counted_once_under_its_class():
+async def test_each_result_is_counted_once_under_its_class():
     answers = always(OK, FULL, OK, BROKEN, OK)
     bench = await Bench(server := Server(answers), config=CONTROL).start()
     assert (await bench.once(call()))[0] == 200
-    assert (await bench.once(call("invite")))[0] == 200  # turned away once, then served
+    assert (await bench.once(call("invite")))[0] == 200  # rejected once, then served
     assert (await bench.once(call("invite")))[0] == 502
     assert (await bench.once(call("offer")))[0] == 200
     assert (await bench.once(call("offer", body=b"x").replace(b"Idempotency", b"X")))[
         0
     ] == 400
     assert (await bench.once(call("view", budget=0)))[0] in (502, 503)
-    _, _, figures = await ask(port_of(bench), "/admin/stats")
-    results = figures["results"]
+    _, _, metrics = await ask(admin_port(bench), "/admin/stats")
+    results = metrics["results"]
     assert results["invite"] == {"succeeded": 1, "declined": 0, "aborted": 1}
     assert results["offer"] == {"succeeded": 1, "declined": 0, "aborted": 1}
     assert results["view"]["succeeded"] == 1
     assert sum(results["view"].values()) == 2
-    assert figures["forwards"] == len(server.requests) == 5
-    assert figures["outstanding"] == 0
-    assert figures["discovered"] == 1
-    assert figures["ejected"] == 0
+    assert metrics["forwards"] == len(server.requests) == 5
+    assert metrics["outstanding"] == 0
+    assert metrics["discovered"] == 1
+    assert metrics["ejected"] == 0
 
 
-async def test_what_is_open_is_outstanding_until_it_ends_or_its_client_leaves():
+async def test_a_request_is_outstanding_until_it_ends_or_its_client_disconnects():
     bench = await Bench(server := Server(always(None)), config=CONTROL).start()
     clients = [await bench.client() for _ in range(3)]
     for client in clients:
         client.send(call("invite"))
     await until(lambda: len(server.requests) == 3)
-    _, _, figures = await ask(port_of(bench), "/admin/stats")
-    assert figures["outstanding"] == 3
-    assert figures["forwards"] == 3
+    _, _, metrics = await ask(admin_port(bench), "/admin/stats")
+    assert metrics["outstanding"] == 3
+    assert metrics["forwards"] == 3
     clients[0].writer.close()
     await until(lambda: bench.node.metrics.outstanding == 2)
 
 
-async def test_the_list_and_what_the_module_avoids_are_shown():
+async def test_listed_and_ejected_servers_are_counted():
     bench = await Bench(*[Server() for _ in range(6)], config=CONTROL).start()
     entries = [s.entry(f"s{i}") for i, s in enumerate(bench.servers)]
     entries[1]["state"], entries[2]["state"] = "draining", "gone"
@@ -180,14 +182,14 @@
     await until(lambda: bench.node.listed is not None and len(bench.node.listed) == 5)
     balancer = bench.node.balancer
     balancer.outliers.eject(bench.node.now(), balancer.subset.members[0], silent=False)
-    _, _, figures = await ask(port_of(bench), "/admin/stats")
-    assert (figures["discovered"], figures["ejected"]) == (5, 1)
+    _, _, metrics = await ask(admin_port(bench), "/admin/stats")
+    assert (metrics["discovered"], metrics["ejected"]) == (5, 1)
 
 
-async def test_a_flood_of_idle_and_half_written_connections_delays_no_answer_for_long(
+async def test_a_flood_of_idle_and_incomplete_connections_does_not_stop_answers(
     tmp_path,
 ):
-    """Far more connections than descriptors; requests on new and on kept connections are answered."""
+    """With far more connections than descriptors, requests on new and on kept connections are answered."""
     await (server := Server()).start()
     await (discovery := Discovery()).start()
     port, control = free_port(), free_port()
@@ -199,13 +201,13 @@
     await healthy(control)
     kept = await Client(port).open()
     assert (await kept.ask(call("invite")))[0] == 200
-    crowd: list[Client] = []
+    flooding: list[Client] = []
     over = asyncio.Event()
 
     async def flood(half: bool):
         for _ in range(400):
             with suppress(ConnectionError):
-                crowd.append(client := await Client(port).open())
+                flooding.append(client := await Client(port).open())
                 if half:
                     client.send(b"POST /invite HTTP/1.1\r\nX-Call-Id: 1\r\n")
         over.set()
@@ -214,7 +216,7 @@
     asked = served = 0
 
     async def once() -> int:
-        """One request on a new connection; 0 if its place was needed before the request was there."""
+        """Sends one request on a new connection; returns 0 if it was evicted before the request arrived."""
         client = await Client(port).open()
         client.send(call("invite"))
         try:
@@ -233,18 +235,18 @@
         asked += 1
     await asyncio.gather(*floods)
     kept.writer.close()
-    while await once() != 200:  # what is left of the flood makes way
+    while await once() != 200:  # remaining connections of the flood are evicted
         pass
     served += 1
-    figures = (await ask(control, "/admin/stats"))[2]
-    assert figures["results"]["invite"]["succeeded"] == served + 1 > 10
-    for client in crowd:
+    metrics = (await ask(control, "/admin/stats"))[2]
+    assert metrics["results"]["invite"]["succeeded"] == served + 1 > 10
+    for client in flooding:
         client.writer.close()
     node.terminate()
     assert await asyncio.wait_for(node.wait(), 20) == 0
 
 
-async def test_who_writes_slowly_is_not_taken_for_one_that_stalls():
+async def test_a_slow_client_is_not_evicted_as_a_stalled_one():
     bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
     callers = bench.node.client_listener
     stalling, slow = await bench.client(), await bench.client()
@@ -276,11 +278,11 @@
     assert (await slow.receive())[0] == 200
 
 
-# ---- new settings ------------------------------------------------------------------------------------
+# ---- reload ------------------------------------------------------------------------------------------
 
 
 def broken_files(table: dict) -> dict[str, str]:
-    """Files that a node must turn down, by what is wrong with them."""
+    """Returns files that a node must reject, by their fault."""
     whole = json.dumps(table)
 
     def changed(change) -> str:
@@ -323,34 +325,34 @@
     }
 
 
-HALVES = (
+SURROGATE_PATHS = (
     ("settings", "tenants", 0, "name"),
     ("limits", "sockets"),
     ("known", "version"),
 )
 
 
-def with_half_a_character(table: dict, place: tuple) -> str:
-    """The file with text that no UTF-8 can hold, where a name or a number belongs."""
+def with_incomplete_surrogate_pair(table: dict, path: tuple) -> str:
+    """Returns the file with text that UTF-8 cannot encode in place of a name or a number."""
     inner = table = json.loads(json.dumps(table))
-    for key in place[:-1]:
+    for key in path[:-1]:
         inner = inner[key]
-    inner[place[-1]] = "\ud800"
+    inner[path[-1]] = "\ud800"
     return json.dumps(table)
 
 
 @pytest.mark.parametrize(
-    "kind", [*sorted(broken_files(node_table(1, settings()))), *HALVES]
+    "kind", [*sorted(broken_files(node_table(1, settings()))), *SURROGATE_PATHS]
 )
-def test_a_broken_file_is_turned_down_whole(kind, tmp_path):
+def test_an_invalid_file_is_rejected_completely(kind, tmp_path):
     table = node_table(1, settings(), "127.0.0.1:1")
     environ = {"LB_CONFIG": str(tmp_path / "config.json"), "LB_LISTEN": "127.0.0.1:1"}
     (tmp_path / "config.json").write_text(json.dumps(table))
     config = load(environ)
-    assert load(environ, config) == config  # the same file once more is whole
+    assert load(environ, config) == config  # the same file again is valid
     text = (
-        with_half_a_character(table, kind)
-        if kind in HALVES
+        with_incomplete_surrogate_pair(table, kind)
+        if kind in SURROGATE_PATHS
         else broken_files(table)[kind]
     )
     (tmp_path / "config.json").write_text(text)
@@ -359,7 +361,7 @@
     assert "\n" not in str(e.value)
 
 
-async def test_new_settings_hold_for_new_requests_and_old_ones_keep_theirs(capsys):
+async def test_new_settings_apply_to_new_requests_and_open_ones_keep_theirs(capsys):
     release = asyncio.Event()
 
     async def late(request, writer):
@@ -376,7 +378,7 @@
     classes[0]["effect"], classes[0]["hard_limit"] = (
         "free",
         7 * MOMENT,
-    )  # invite is safe to repeat now
+    )  # invite is idempotent from now on
     classes.append(classes[1] | {"name": "look", "effect": "free"})
     given["policy_limits"]["max_attempts"] = 1
     table = bench.node.config.filed
@@ -401,21 +403,21 @@
         filed=table,
     )
     bench.node.reload(config)
-    assert bench.node.balancer.limit is before  # what was learned stays
+    assert bench.node.balancer.limit is before  # learned state stays
     assert (await bench.once(call()))[0] == 404  # view was dropped
-    assert (await bench.once(call("invite")))[0] == 405  # it asks by GET from now on
+    assert (await bench.once(call("invite")))[0] == 405  # it requires GET from now on
     release.set()
     new = call().replace(b"/view?", b"/look?")
     assert (await bench.once(new))[0] == 200
-    # The open one was turned away once, and still had the old bound's further attempts.
+    # The open request was rejected once, and had the further attempts of the old limit.
     assert (await client.receive())[0] in (200, 503)
-    _, _, figures = await ask(port_of(bench), "/admin/stats")
-    assert figures["sighup_applied"] == 1
-    assert figures["results"]["look"]["succeeded"] == 1
-    assert "view" in figures["results"]
+    _, _, metrics = await ask(admin_port(bench), "/admin/stats")
+    assert metrics["sighup_applied"] == 1
+    assert metrics["results"]["look"]["succeeded"] == 1
+    assert "view" in metrics["results"]
 
 
-async def test_a_number_in_use_keeps_its_meaning_and_is_free_later():
+async def test_a_class_number_in_use_keeps_its_meaning_and_is_reused_later():
     bench = await Bench().start()
     base = bench.node.config.settings
     safe, unsafe, keyed = base.classes
@@ -435,7 +437,7 @@
     assert len(merged.classes) == 4
 
 
-def test_a_key_that_the_old_file_had_must_be_there():
+def test_a_key_of_the_old_file_must_be_in_the_new_one():
     old = {"a": {"b": 1}, "list": [{"x": 1, "y": 2}, {"x": 1}], "known": 1}
     assert find_missing_key(old, old) is None
     assert find_missing_key({"a": {"b": 2}, "list": [{"x": 3}]}, old) is None
@@ -444,7 +446,7 @@
     assert find_missing_key({"a": 3, "list": []}, old) == "a"
 
 
-async def test_sighup_with_every_broken_file_leaves_the_program_serving(tmp_path):
+async def test_sighup_with_each_invalid_file_leaves_the_program_serving(tmp_path):
     await (server := Server()).start()
     await (discovery := Discovery()).start()
     port, control = free_port(), free_port()
@@ -459,9 +461,9 @@
         file.write_text(text)
         node.send_signal(signal.SIGHUP)
         assert b"the old configuration stays" in await node.stderr.readline()
-        figures = (await ask(control, "/admin/stats"))[2]
-        assert figures["sighup_rejected"] == count
-        refused = figures["sighup_refused"]
+        metrics = (await ask(control, "/admin/stats"))[2]
+        assert metrics["sighup_rejected"] == count
+        refused = metrics["sighup_refused"]
         assert refused["error"].startswith("Config")
         assert str(file) in refused["where"]
         assert refused["do"]
@@ -473,9 +475,9 @@
     node.send_signal(signal.SIGHUP)
     assert b"reload applied discovery=" in await node.stderr.readline()
     assert (await client.ask(call().replace(b"/view?", b"/look?")))[0] == 200
-    figures = (await ask(control, "/admin/stats"))[2]
-    assert (figures["sighup_applied"], figures["sighup_rejected"]) == (1, len(broken))
-    assert "sighup_refused" not in figures
+    metrics = (await ask(control, "/admin/stats"))[2]
+    assert (metrics["sighup_applied"], metrics["sighup_rejected"]) == (1, len(broken))
+    assert "sighup_refused" not in metrics
     client.writer.close()
     node.terminate()
     assert await asyncio.wait_for(node.wait(), 20) == 0
@@ -485,7 +487,7 @@
 
 
 async def healthy(port: int) -> None:
-    """Waits until a process says that it takes clients."""
+    """Waits until a process reports that it accepts clients."""
     while True:
         with suppress(aiohttp.ClientConnectionError):
             if (await ask(port, "/admin/health"))[0] == 200:
@@ -493,8 +495,8 @@
         await asyncio.sleep(0.02)
 
 
-async def test_an_upgrade_under_load_loses_nothing(tmp_path):
-    """Two processes on one inherited socket: the first gets SIGTERM while clients ask without a pause."""
+async def test_an_upgrade_under_load_loses_no_request(tmp_path):
+    """Two processes share an inherited socket; the first gets SIGTERM while clients send requests."""
 
     async def handle(request, writer):
         await asyncio.sleep(0.01)
@@ -505,7 +507,7 @@
     (tmp_path / "shared").mkdir()
     stale = ProcessRegistry("n0", str(tmp_path / "shared"))
     stale.register()
-    os.close(stale.file)  # a killed process leaves its file, and no lock
+    os.close(stale.file)  # a killed process leaves its file without a lock
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
         port = listener.getsockname()[1]
         table = node_table(
@@ -537,7 +539,7 @@
                 assert status in (
                     200,
                     503,
-                )  # refused is an answer too, while the new one warms up
+                )  # a rejection is an answer too, while the new process warms up
                 served[0] += 1
                 if headers.get("connection") == "close":
                     served[1] += 1
@@ -556,7 +558,7 @@
         await until(lambda: served[0] > count + 100)
         stop.set()
         await asyncio.gather(*clients)
-        assert served[1] > 0  # the old one said that it closes
+        assert served[1] > 0  # the old process announced that it closes
         assert len(os.listdir(tmp_path / "shared")) == 1
         new.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(new.wait(), 20) == 0
@@ -597,11 +599,11 @@
         await until(lambda: second.node.process_share.siblings.count == 0)
         assert budgets()[1] == 400
         assert second.node.balancer.context.settings.instances == 1
-        # The socket itself was not shut down: the second still takes clients on it.
+        # The socket itself was not shut down: the second process still accepts clients on it.
         assert (await second.once(call()))[0] == 200
 
 
-def test_a_lock_says_who_lives_and_stale_files_are_removed(tmp_path):
+def test_a_lock_shows_that_a_process_is_alive_and_stale_files_are_removed(tmp_path):
     first, second = (
         ProcessRegistry("n0", str(tmp_path)),
         ProcessRegistry("n0", str(tmp_path)),
@@ -610,12 +612,12 @@
     for registry in (first, second, other):
         registry.register()
     second.publish(57, True)
-    peers = first.siblings()
-    assert (peers.count, peers.descriptors, peers.draining) == (1, 57, True)
+    siblings = first.siblings()
+    assert (siblings.count, siblings.descriptors, siblings.draining) == (1, 57, True)
     (tmp_path / f"{first.prefix}junk.node").write_text("what is this")
     assert first.siblings().count == 1
     assert len(list(tmp_path.iterdir())) == 3
-    os.close(second.file)  # it was killed: the file stays, the lock does not
+    os.close(second.file)  # a killed process: its file stays, its lock does not
     assert first.siblings().count == 0
     assert len(list(tmp_path.iterdir())) == 2
     for registry in (
@@ -628,8 +630,8 @@
         registry.unregister()
 
 
-def test_a_process_does_not_take_its_own_file_for_a_peers(tmp_path, monkeypatch):
-    """Failure prevented: with a relative folder a node keeps to half of its limits for good."""
+def test_a_process_does_not_count_itself_as_a_sibling(tmp_path, monkeypatch):
+    """Failure prevented: with a relative folder a node uses only half of its limits permanently."""
     monkeypatch.chdir(tmp_path)
     registry = ProcessRegistry("n0", ".")
     registry.register()
@@ -639,5 +641,5 @@
     assert not os.listdir(".")
 
 
-async def test_control_can_be_closed_before_it_listens():
+async def test_the_admin_listener_can_be_closed_before_it_listens():
     AdminServer(asyncio.get_running_loop(), {}).close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM, SIGHUP and the start on the real program: what is owed at each of its ends, and by when."""
+"""SIGTERM, SIGHUP and the start of the real program: which answers are due at a shutdown, and by when."""
 
 import asyncio
 import json
@@ -25,12 +25,12 @@
 from program import Door, Program, connected, free_port, node_table, spawn
 from test_node import cut_off
 
-# Seconds that a busy machine may be late; the client's own time is far longer
-LATE = 2.0
+# Seconds of delay allowed for a busy machine; the client's own timeout is far longer.
+MAX_LATE_S = 2.0
 
 
 def classes(deadline: float) -> list[dict]:
-    """The tests' classes with another longest deadline, in seconds."""
+    """Returns the tests' classes with a deadline in seconds."""
     time = int(deadline * MOMENT)
     return [
         c | {"hard_limit": time, "goal_time": time // 2} for c in settings()["classes"]
@@ -38,17 +38,17 @@
 
 
 def kill_after(deadline: float) -> float:
-    """Seconds after SIGTERM in which the platform lets a process live at the least."""
+    """Returns the shortest time in seconds from SIGTERM to the platform's SIGKILL."""
     return min(deadline, 3.0) + 0.7
 
 
 @pytest.mark.parametrize(
     ("klass", "deadline"), [("view", 0.5), ("invite", 0.5), ("invite", 20.0)]
 )
-def test_what_is_open_at_sigterm_is_answered_before_sigkill_whatever_its_own_time(
+def test_open_requests_are_answered_between_sigterm_and_sigkill_whatever_their_deadline(
     tmp_path, klass, deadline
 ):
-    """Failure prevented: a server hangs, the request's deadline is after SIGKILL, and nobody answers it."""
+    """Failure prevented: a server hangs, the request's deadline is after SIGKILL, and it gets no answer."""
 
     async def scene():
         door = await Door().start()
@@ -61,9 +61,9 @@
             hung = await door.peer()
             await hung.read_until(b"\r\n\r\n")
             program.term()
-            began = monotonic()
+            started_at = monotonic()
             status, headers, _ = await client.receive()
-            assert monotonic() - began < kill_after(deadline) + LATE
+            assert monotonic() - started_at < kill_after(deadline) + MAX_LATE_S
             assert status not in (200, 503) or (klass == "view" and status == 503)
             assert await client.ended()
             client.writer.close()
@@ -74,8 +74,10 @@
     play(scene)
 
 
-def test_what_no_server_has_got_by_the_end_is_refused_not_failed(tmp_path):
-    """Failure prevented: a request that may not run twice, and never ran, is given up for good."""
+def test_a_request_that_reached_no_server_before_the_end_is_rejected_not_failed(
+    tmp_path,
+):
+    """Failure prevented: a request that may not run twice and never ran is failed instead of rejected."""
 
     async def scene():
         with cut_off() as port:
@@ -90,7 +92,7 @@
                 figures: dict = {}
                 while not figures.get(
                     "outstanding"
-                ):  # it waits for a connection that never comes up
+                ):  # it waits for a connection that is never established
                     operator = await Client(control).open()
                     _, _, body = await operator.ask(
                         b"GET /admin/stats HTTP/1.1\r\n\r\n"
@@ -105,7 +107,7 @@
     play(scene)
 
 
-def test_a_flood_at_sigterm_with_hung_servers_loses_nothing(tmp_path):
+def test_a_flood_at_sigterm_with_hung_servers_loses_no_request(tmp_path):
     """Failure prevented: of many requests, on old and new connections, some are read and never answered."""
 
     async def scene():
@@ -130,12 +132,12 @@
                 try:
                     return await program.client()
                 except ConnectionResetError:
-                    # It waited for the node to accept it as the listener closed: nothing of it was read.
+                    # The listener closed before it accepted the connection, so nothing of it was read.
                     assert ended
 
         async def ask(keep: bool, klass: str) -> None:
             client = None
-            with suppress(ConnectionRefusedError):  # the node listens no more
+            with suppress(ConnectionRefusedError):  # the node no longer listens
                 while True:
                     client = client or await connect()
                     client.send(data := call(klass, 400))
@@ -144,8 +146,10 @@
                         _, headers, _ = await client.receive()
                         answers["given"] += 1
                     except (asyncio.IncompleteReadError, ConnectionError):
-                        # It crossed the close: nothing of it may have been read.
-                        assert ended and name not in seen, "read, and not answered"
+                        # The request and the close crossed; the node must not have read the request.
+                        assert ended and name not in seen, (
+                            "the request was read, but not answered"
+                        )
                         headers = {"connection": "close"}
                     if not keep or "connection" in headers:
                         client.writer.close()
@@ -157,11 +161,11 @@
                 for keep in (True, False)
                 for klass in ("view", "invite", "offer")
             ] * 6
-            crowd = [asyncio.create_task(ask(*kind)) for kind in kinds]
+            clients = [asyncio.create_task(ask(*kind)) for kind in kinds]
             await until(lambda: answers["given"] > 300)
             ended = True
             program.term()
-            await asyncio.gather(*crowd)
+            await asyncio.gather(*clients)
             assert await program.exit() == 0
         finally:
             await program.stop()
@@ -169,10 +173,10 @@
     play(scene)
 
 
-def test_sighup_before_the_node_tends_it_is_kept_and_heard(tmp_path):
-    """Failure prevented: the process ends of it, or the file that it tells of is never read.
+def test_sighup_before_the_node_handles_it_is_kept_and_handled_later(tmp_path):
+    """Failure prevented: the signal terminates the process, or the changed file is never read.
 
-    The file is a pipe: who reads it waits for the test, and so is known to be at it.
+    The file is a pipe: a reader waits for the test, so the test knows when the file is being read.
     """
 
     async def scene():
@@ -195,7 +199,7 @@
                     file.write(json.dumps(text))
                 await asyncio.wait_for(
                     connected(Client(port)), PATIENCE
-                )  # it has read that one
+                )  # it has read the first file
             await until(lambda: bool(discovery.requests))
             assert process.returncode is None
         finally:
@@ -205,10 +209,10 @@
     play(scene)
 
 
-def test_signals_at_any_time_up_to_the_last_instant_change_nothing(tmp_path):
-    """Failure prevented: one that comes once the loop has ended, and nobody tends it, ends the process.
+def test_further_signals_at_any_time_of_the_shutdown_have_no_effect(tmp_path):
+    """Failure prevented: a signal without a handler, after the loop has ended, kills the process.
 
-    They come without a pause from the first moment until the process is gone: so in every part of its end.
+    Signals are sent without a pause from SIGTERM until the process has exited, so in each phase of its end.
     """
 
     async def scene():
@@ -242,11 +246,11 @@
 @pytest.mark.parametrize(
     "discovery", ["refuses", "never comes up", "is silent", "stops half-way"]
 )
-def test_a_restarted_process_is_ready_and_ends_whatever_discovery_does(
+def test_a_restarted_process_becomes_ready_and_ends_whatever_discovery_does(
     tmp_path, discovery
 ):
-    """Failure prevented: a herd of restarted nodes waits for a discovery that is down, or one that ends is
-    held up by its calls.
+    """Failure prevented: many restarted nodes wait for a discovery that is down, or open calls to it delay
+    the end of a process.
     """
 
     async def scene():
@@ -256,7 +260,7 @@
             await program.discovery.start()
             program.discovery.silent = True
             if discovery == "refuses":
-                program.discovery.port = free_port()  # bound, and nobody listens
+                program.discovery.port = free_port()  # no process listens there
             elif discovery == "never comes up":
                 program.discovery.port = nobody
             elif discovery == "stops half-way":
