--- a/loadbalancer/config/platform_settings.py
+++ b/loadbalancer/config/platform_settings.py
@@ -45,9 +45,8 @@
 
 # Integers and fractions that the platform writes; true, NaN and values beyond 1e300 are errors.
 Number = Annotated[float, Meta(gt=-1e300, lt=1e300)]
-Scalar = (
-    str | int | float | bool | None
-)  # an entry of a list that is accepted with any simple type
+# An entry of a list that is accepted with any simple type
+Scalar = str | int | float | bool | None
 
 
 class Form(msgspec.Struct, frozen=True, kw_only=True, gc=False):
--- a/loadbalancer/node/admin.py
+++ b/loadbalancer/node/admin.py
@@ -19,21 +19,19 @@
 from loadbalancer.node.client.request import REASONS
 
 MAX_CONNECTIONS = 16
-# For the connections, the listener, and connections that are accepted before the oldest one is closed.
+# For the connections, the listener, and connections that are accepted and about to replace the oldest one
 RESERVED_DESCRIPTORS = MAX_CONNECTIONS + 4
-REQUEST_TIMEOUT_S = 2.0  # to receive the complete request
+REQUEST_TIMEOUT_S = 2.0  # until the request must be complete
 LINGER_S = 0.5  # from the response to the end of the connection
 MAX_REQUEST_BYTES = 8192
-MAX_ARGUMENTS = 32  # in a command's query
-BACKLOG = 64  # connections that wait to be accepted
+MAX_ARGUMENTS = 32  # largest number of arguments of a command
+BACKLOG = 64  # largest number of connections that wait to be accepted
 
 Arguments = dict[str, str]
-Page = Callable[
-    [], tuple[bool, dict[str, Any]]
-]  # whether the status is 200 or 503, and the JSON object
-Command = Callable[
-    [Arguments], tuple[int, dict[str, Any]]
-]  # HTTP status and JSON object
+# Returns whether the status is 200 or 503, and the JSON object of the response.
+Page = Callable[[], tuple[bool, dict[str, Any]]]
+# Returns the HTTP status and the JSON object of the response.
+Command = Callable[[Arguments], tuple[int, dict[str, Any]]]
 
 
 class AdminConnection(asyncio.Protocol):
@@ -119,7 +117,9 @@
         arguments = parse_arguments(query)
         if arguments is None:
             status: int = HTTPStatus.BAD_REQUEST
-            table: dict[str, Any] = {"what": "query: unreadable"}
+            table: dict[str, Any] = {
+                "what": "query: malformed, too many arguments, or an argument that appears twice"
+            }
         else:
             status, table = command(arguments)
         self.answer(status, json.dumps(table).encode())
--- a/loadbalancer/node/discovery/call.py
+++ b/loadbalancer/node/discovery/call.py
@@ -13,10 +13,12 @@
 SILENCE_S = 0.3
 # A call is also late if its answer is incomplete after this time, as when it arrives byte by byte.
 ANSWER_TIMEOUT_S = 2.0
-MAX_CALLS = 5  # of the watch at a time; their descriptors are set aside
+MAX_CALLS = (
+    5  # largest number of open calls of the watch; their descriptors are set aside
+)
 # A late call is ended after this time without a byte.
 LATE_CALL_LIFETIME_S = MAX_CALLS * SILENCE_S
-MIN_LATE_RATE = 200_000  # bytes per second at which a late answer has to arrive
+MIN_LATE_BYTES_PER_S = 200_000  # rate at which a late answer has to arrive
 MAX_ANSWER_BYTES = 20 << 20  # enough for a list of 100,000 servers
 
 
@@ -112,14 +114,14 @@
     def check_silence(self) -> None:
         """Detects that the call is late, and ends it after a further time.
 
-        This is the only timeout of a call. A long list is awaited while it arrives at MIN_LATE_RATE or
+        This is the only timeout of a call. A long list is awaited while it arrives at MIN_LATE_BYTES_PER_S or
         faster; one that stops half-way or arrives byte by byte is not.
         """
         now = self.loop.time()
         due = min(self.last_byte_at + SILENCE_S, self.late_at)
         lifetime_end = min(
             self.last_byte_at + LATE_CALL_LIFETIME_S,
-            self.late_at + len(self.body) / MIN_LATE_RATE,
+            self.late_at + len(self.body) / MIN_LATE_BYTES_PER_S,
         )
         if not self.late and now < due:
             self.schedule_check(due - now)
--- a/loadbalancer/node/discovery/client.py
+++ b/loadbalancer/node/discovery/client.py
@@ -23,12 +23,12 @@
 ENDPOINTS_PATH = "/v1/endpoints"
 # Long-poll time of the watch. It is short, since the agent is on this machine and empty answers cost little.
 WATCH_WAIT_MS = 1_000
-# Between two calls where the first one fails or is answered immediately
+# Shortest interval between two new calls when the first one fails or is answered immediately
 RETRY_INTERVAL_S = 0.1
 AGENT_ANSWER_S = 0.3  # within which a reachable agent answers
-# For the agent's first answer; after that the list from the configuration file counts as current.
+# Time to wait for the agent's first answer; then the list from the configuration file counts as current.
 STARTUP_WAIT_S = 1.0
-STARTUP_WAIT_LIST_S = 5.0  # the same while a list is being received or read
+STARTUP_WAIT_LIST_S = 5.0  # the same time if a list is being received or read
 POLL_INTERVAL_S = 0.3  # average interval of polls while the list seems outdated
 
 
--- a/loadbalancer/node/discovery/endpoint_list_codec.py
+++ b/loadbalancer/node/discovery/endpoint_list_codec.py
@@ -299,7 +299,7 @@
         self.count = 0
 
     def check(self, size: int) -> Iterator[None]:
-        """Reads the whole list, `size` entries per step.
+        """Validates the entire list, `size` entries per step.
 
         Raises:
             ListError: The list is invalid.
--- a/loadbalancer/node/discovery/endpoint_list_reader.py
+++ b/loadbalancer/node/discovery/endpoint_list_reader.py
@@ -16,7 +16,7 @@
 from loadbalancer.policy.api import ListUpdateKind
 
 LONG_ANSWER_BYTES = 64 << 10  # a larger answer is read in parts
-PART_SIZE = 50  # servers in a part, which take one or two milliseconds to read
+PART_SERVERS = 50  # a part of this size takes one or two milliseconds to read
 
 # Called with an update and whether more parts of the same list follow; None: a call had no usable answer.
 OnList = Callable[[Listing | None, bool], None]
@@ -188,7 +188,7 @@
             try:
                 long_list = LongListing(bytes(body))
                 started_at = monotonic()
-                for _ in long_list.check(PART_SIZE):
+                for _ in long_list.check(PART_SERVERS):
                     await asyncio.sleep(monotonic() - started_at)
                     started_at = monotonic()
             except ListError as error:
@@ -205,7 +205,7 @@
     async def deliver_parts(self, long_list: LongListing, is_full: bool) -> None:
         """Delivers all parts of a long list once."""
         delivered = 0
-        for part in long_list.parts(PART_SIZE):
+        for part in long_list.parts(PART_SERVERS):
             started_at = monotonic()
             delivered += len(part.lines)
             more = delivered < long_list.count
--- a/loadbalancer/node/lifecycle/upgrade.py
+++ b/loadbalancer/node/lifecycle/upgrade.py
@@ -14,12 +14,14 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-REGISTER_ATTEMPTS = 4  # to create and lock this process's file
+REGISTER_ATTEMPTS = (
+    4  # largest number of attempts to create and lock this process's file
+)
 SIBLING_CHECK_INTERVAL_S = 0.2
 FILE_SUFFIX = ".node"
-FILE_BYTES = 64  # size of a file; unused bytes are spaces
-NAME_DIGEST_BYTES = 6  # of the node's name in the file names
-NO_FILE = -1  # in place of a descriptor
+FILE_BYTES = 64  # size of a process's file; unused bytes are spaces
+NAME_DIGEST_BYTES = 6  # length of the digest of the node's name in file names
+NO_FILE = -1  # stands for a missing file descriptor
 
 
 @dataclass(frozen=True)
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -154,7 +154,7 @@
         """
         return (self.clock_offset_ns + monotonic_ns()) // 1000
 
-    # ---- start and end --------------------------------------------------------------------------------
+    # ---- start and shutdown --------------------------------------------------------------------------
 
     async def start(self) -> None:
         """Starts the features and the policy, and accepts clients.
@@ -208,7 +208,7 @@
         if failed_count:
             self.log_lines.line(f"guard requests expired count={failed_count}")
 
-    # ---- operators ------------------------------------------------------------------------------------
+    # ---- operators -----------------------------------------------------------------------------------
 
     def health(self) -> tuple[bool, dict[str, Any]]:
         """Returns whether clients are accepted (200, else 503), and the object of `/admin/health`."""
@@ -231,7 +231,7 @@
         )
         return self.listed is not None and self.discovery.is_settled() and not excluded
 
-    # ---- configuration --------------------------------------------------------------------------------
+    # ---- configuration -------------------------------------------------------------------------------
 
     def reload(self, config: Config, operation: OperatorConfig | None = None) -> None:
         """Applies a new configuration, as soon as no feature objects."""
@@ -292,7 +292,7 @@
             return config.settings.zone
         return self.endpoints.zone_number(config.zones[config.settings.zone])
 
-    # ---- features -------------------------------------------------------------------------------------
+    # ---- features ------------------------------------------------------------------------------------
 
     def reconcile_features(self) -> None:
         """Starts, updates and stops features as the operators' file requests."""
@@ -324,7 +324,7 @@
         """The endpoints in the received parts of an incomplete full list; None if there is none."""
         return self.endpoints.named
 
-    # ---- events ---------------------------------------------------------------------------------------
+    # ---- events --------------------------------------------------------------------------------------
 
     def on_event_failed(
         self, event: PolicyEvent, args: tuple[Any, ...], error: Exception
@@ -367,7 +367,7 @@
         """Passes a peer's message to the policy."""
         self.post(self.balancer.peer_message, peer, data)
 
-    # ---- Actions --------------------------------------------------------------------------------------
+    # ---- actions of the policy -----------------------------------------------------------------------
 
     def send(self, request: int, server: int, timeout: int) -> None:
         """Starts the request's next attempt; one that may not be sent ends as NOT_SENT after this event."""
--- a/loadbalancer/node/numbering.py
+++ b/loadbalancer/node/numbering.py
@@ -4,7 +4,7 @@
 
 from hashlib import blake2b
 
-NUMBER_BYTES = 8
+NUMBER_BYTES = 8  # size of a server's number
 
 
 def number_of(name: str) -> int:
--- a/loadbalancer/node/peers.py
+++ b/loadbalancer/node/peers.py
@@ -9,7 +9,7 @@
 from loadbalancer.node.log import Log
 
 MAX_MESSAGE_BYTES = 256
-ALL_PEERS = -1  # in place of a peer's number
+ALL_PEERS = -1  # stands for all peers in place of a peer's number
 
 Address = tuple[str, int]
 
--- a/loadbalancer/node/udp.py
+++ b/loadbalancer/node/udp.py
@@ -16,7 +16,7 @@
     TransportError,
 )
 
-MAX_BUFFERED_BYTES = 1 << 20  # that the socket has not accepted and the loop buffers
+MAX_BUFFERED_BYTES = 1 << 20  # limit of the loop's buffer for unsent datagrams
 MAX_PORT = 65_535
 # A Linux socket option that returns nine 32-bit counters of the socket's memory. One of them counts the
 # datagrams that were dropped because its receive buffer was full.
@@ -67,7 +67,7 @@
 
     @property
     def counters(self) -> Counters:
-        """Counters of the traffic so far."""
+        """The counters of sent, received and dropped datagrams."""
         self._count_receive_drops()
         return self.tally
 
