--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -15,47 +15,32 @@
 from loadbalancer.policy.statistics import percentile
 
 WINDOW_US = 100_000  # Minimum length of a sampling window.
-# A window of the minimum length stays open until it holds this number of samples.
-WINDOW_FULL_SAMPLES = 80
-# A window with fewer samples closes at this multiple of the minimum length.
-WINDOW_STRETCH_FACTOR = 10
-# With fewer samples than this, a window's change of the limit is scaled down in proportion.
-WINDOW_FULL_WEIGHT_SAMPLES = 8
-# Percentile, as a fraction, that is taken of the samples of a window and of a measurement.
-SAMPLE_PERCENTILE = 0.9
-# Bounds of the factor by which one window may scale the limit.
-MIN_GRADIENT, MAX_GRADIENT = 0.5, 2.0
+WINDOW_FULL_SAMPLES = 80  # Samples that close a window of the minimum length.
+WINDOW_STRETCH_FACTOR = 10  # Multiple of WINDOW_US that closes it with fewer samples.
+WINDOW_FULL_WEIGHT_SAMPLES = 8  # With fewer, the limit changes proportionally less.
+SAMPLE_PERCENTILE = 0.9  # A fraction; of the samples of a window or a measurement.
+MIN_GRADIENT, MAX_GRADIENT = 0.5, 2.0  # Bounds of a window's factor on the limit.
 
 # Calls per member: the limit during a measurement and, over all instances together, the floor.
 MIN_LIMIT = 3
 MEASUREMENT_INTERVAL_US = 60_000_000  # Between two measurements of the min RTT.
 INTERVAL_JITTER_RATIO = 0.1  # Largest random extension of the interval, as a fraction.
-# A measurement with this number of calls ends as soon as its minimum time is over; others wait longer.
-MEASUREMENT_CALLS = 50
-# Consecutive windows with the limit at its floor after which a measurement starts.
-WINDOWS_AT_FLOOR = 5
+MEASUREMENT_CALLS = 50  # A measurement with fewer waits beyond its minimum time.
+WINDOWS_AT_FLOOR = 5  # Consecutive windows at the floor that start a measurement.
 
 # The target round trip exceeds the min RTT by at least this fraction of the min RTT.
 BUFFER_RATIO = 0.25
-# Fraction of the latency objective that a round trip may use up.
-ALLOWANCE_RATIO = 0.5
+ALLOWANCE_RATIO = 0.5  # Fraction of the latency objective that a round trip may use up.
 MAX_TARGET_RATIO = 0.75  # Upper bound of the target, as a fraction of the objective.
 
-# Fraction of lost calls above which failures count as overload.
-OVERLOAD_FAILURE_RATIO = 0.15
-# Fraction of lost calls above which fewer calls are kept in flight.
-LOSS_TOLERATED_RATIO = 0.05
-
-# Longest period over which the calls in flight are averaged.
-IN_FLIGHT_SMOOTHING_US = 1_000_000
-# Period over which the usual number of calls in flight is smoothed.
-USUAL_SMOOTHING_US = 3_000_000
-# After a start the usual number is smoothed over this number of mean round trips instead.
-RAMP_ROUND_TRIPS = 2
-# Period over which the usual number fades to 0 while calls are lost.
-USUAL_LOST_FADE_US = 12_000_000
-# Period over which the usual number fades while latency is above the target.
-USUAL_LATE_FADE_US = 4_000_000
+OVERLOAD_FAILURE_RATIO = 0.15  # Above this fraction, lost calls count as overload.
+LOSS_TOLERATED_RATIO = 0.05  # Lost fraction above which fewer calls are kept in flight.
+
+IN_FLIGHT_SMOOTHING_US = 1_000_000  # Longest averaging period of the calls in flight.
+USUAL_SMOOTHING_US = 3_000_000  # Smoothing period of the usual calls in flight.
+RAMP_ROUND_TRIPS = 2  # Smoothing period after a start instead, in mean round trips.
+USUAL_LOST_FADE_US = 12_000_000  # The usual number's fade to 0 while calls are lost.
+USUAL_LATE_FADE_US = 4_000_000  # Its fade while latency is above the target.
 # Fraction of the last good usual number that remains where calls are late but not lost.
 USUAL_LATE_FLOOR_RATIO = 0.5
 MAX_USUAL_RATIO = 2.0  # Upper bound of the limit, as a multiple of the usual number.
@@ -104,15 +89,12 @@
         self.in_flight = self.in_flight_sum = self.latency_sum = 0
         # The smoothed calls in flight are what the limit is compared with.
         self.smoothed_in_flight, self.smoothed_at = 0.0, now
-        # In every window since the start, the calls in flight have reached half of the limit and latency has
-        # stayed within the target.
+        # Every window since the start was within the target, with at least half of the limit in flight.
         self.ramping = True
-        # Smoothed fraction of calls that ended without an answer.
-        self.lost_ratio = 0.0
+        self.lost_ratio = 0.0  # Smoothed fraction of calls that ended unanswered.
         # Smoothed calls in flight while latency is within the target.
         self.usual_in_flight = 0.0
-        # The usual number at the last window whose latency was within the target.
-        self.last_good_in_flight = 0.0
+        self.last_good_in_flight = 0.0  # The same at the last window within the target.
         self.samples: list[float] = []
         self.answered_samples: list[float] = []
         self.window_start = now
@@ -169,8 +151,7 @@
         Args:
             capacity: The capacity of all listed endpoints, as a number of warm endpoints.
         """
-        # An empty list may be an error. The capacity is at least 1 so that the limit can recover when the
-        # endpoints return.
+        # At least 1: an empty list may be an error, and the limit must recover when endpoints return.
         capacity = max(1.0, capacity)
         ratio = capacity / self.capacity if self.capacity else 1.0
         self.capacity = capacity
