--- a/loadbalancer/policy/admission.py
+++ b/loadbalancer/policy/admission.py
@@ -21,14 +21,15 @@
 
 # The host may notice an answer this number of its clock ticks after it arrives.
 NOTICE_TICKS = 2
-# Headrooms that a request over its tenant's quota leaves free.
+# Multiple of `ConcurrencyLimit.headroom` that a request over its tenant's quota leaves free.
 OVER_QUOTA_HEADROOMS = 2
 # Round-trip time, relative to the target, above which the shed probability rises and below which it falls.
 SHED_RTT_RATIO = 0.6
-# Change of the shed probability per answer and per unit of that relative round-trip time.
+# Change of the shed probability per round trip and per unit of that relative round-trip time.
 SHED_GAIN = 0.06
-MAX_SHED_RTT_RATIO = 3.0  # Upper bound of the relative round-trip time of an answer.
-# Classes with less than this fraction of the highest value per unit of time have lower priority.
+MAX_SHED_RTT_RATIO = 3.0  # A higher relative round-trip time counts as this.
+# A class has lower priority if its value is less than this fraction of the highest value of any class. The
+# value is the priority weight per unit of the time that a call takes.
 LOWER_PRIORITY_RATIO = 0.5
 
 
@@ -52,7 +53,9 @@
 def open_request(
     now: int, request: int, settings: Settings, class_index: int, time_left: int
 ) -> Request:
-    """Returns the record of a new request. A request of an unknown class counts as not idempotent.
+    """Returns the record of a new request.
+
+    A request of an unknown class counts as not idempotent; the other settings of the last class apply to it.
 
     Args:
         now: The current time in microseconds.
--- a/loadbalancer/policy/api.py
+++ b/loadbalancer/policy/api.py
@@ -50,12 +50,12 @@
     CONNECT_FAILED = (
         1  # there was no connection, or the request was not sent completely
     )
-    NOT_SENT = 2
+    NOT_SENT = 2  # the host did not send it; says nothing about the endpoint's health
     OK = 3
-    ERROR = 4
+    ERROR = 4  # an answer with an error
     TIMEOUT = 5
-    RESET = 6
-    CANCELLED = 7
+    RESET = 6  # the connection failed after the request was sent
+    CANCELLED = 7  # the host stopped waiting for the answer
     UNKNOWN = 8  # an outcome that the host does not recognise: the request may have run
 
 
@@ -108,7 +108,8 @@
     """What one instance observes of the zones. Counts cover the time since the last decision.
 
     Attributes:
-        ready: The number of listed endpoints by zone.
+        ready: The number of ready endpoints by zone, with those that a full list left out but no sweep has
+            removed yet.
         warm: The capacity of the listed endpoints, counted in warm endpoints, by zone.
         unhealthy: The fraction of this instance's members that fail or are ejected, by zone.
         requests_by_class: Requests that arrived, by class.
@@ -138,8 +139,8 @@
     """How this instance's calls are divided between zones until the next decision.
 
     Attributes:
-        shares: The zones in order of preference, each with its fraction of the calls. If empty, there is no
-            preference.
+        shares: The zones in order of preference, each with its fraction of the calls that are not rejected.
+            If empty, there is no preference.
         reject: The fraction of each class that is rejected at once because no zone has capacity for it. If
             empty, nothing is rejected.
         panic: Whether so few endpoints are healthy that none is avoided.
@@ -187,16 +188,18 @@
             class_index: The request's class.
             repeat: Whether the client marked the request as a retry.
             time_left: The client's remaining time in microseconds.
-            needed: The mean time to an answer of the request's class, in microseconds.
+            needed: The mean round-trip time of the request's class, in microseconds.
         """
 
     def record_end(self, now: int, class_index: int, served: bool) -> None:
-        """Counts the end of an admitted request.
+        """Counts an admitted request that ends with the outcome of an attempt.
+
+        Requests that end by `Actions.fail`, or whose client has disconnected, are not counted.
 
         Args:
             now: The time in microseconds.
             class_index: The request's class.
-            served: Whether the request was served; if not, it failed.
+            served: Whether that outcome was OK; if not, the request failed.
         """
 
     def record_rejection(self, class_index: int, longest: int, base: int) -> int:
@@ -383,7 +386,7 @@
         Args:
             now: The time in microseconds.
             request: The request's number.
-            attempt: The number of the attempt.
+            attempt: The number of the attempt, from 0 for the first attempt of the request.
             server: The endpoint's number.
             outcome: How the attempt ended.
             latency: How long the attempt took, in microseconds.
--- a/loadbalancer/policy/balancer.py
+++ b/loadbalancer/policy/balancer.py
@@ -1,10 +1,10 @@
 """The load-balancing policy of one node: combines the rules that decide on each request.
 
-Every rule is a module of its own. At the first tier a request passes admission (`admission`,
-`concurrency_limit`); at the tiers below it waits at the limit (`request_queue`). Its attempts go to members
-of the instance's subset (`subset`), picked by two random choices (`endpoint_selection`). Cold endpoints
-receive less traffic (`slow_start`), and failing ones receive none (`outlier_detection`). A failed
-attempt may be repeated (`retry_policy`).
+Every rule is a module of its own. At the first tier (`Settings.tier` 0) a request passes admission
+(`admission`, `concurrency_limit`) or is rejected; at the tiers below, a request that the concurrency limit
+does not admit waits (`request_queue`). Its attempts go to members of the instance's subset (`subset`), picked
+by two random choices (`endpoint_selection`). Cold endpoints receive less traffic (`slow_start`), and failing
+ones receive only trials (`outlier_detection`). A failed attempt may be repeated (`retry_policy`).
 
 The interface with its settings, events and actions is in `loadbalancer/policy/api.py`; docs/design.md gives
 the reasons. Times are integer microseconds.
@@ -51,11 +51,12 @@
 from loadbalancer.policy.zone_routing import ZoneRouting
 from loadbalancer.policy.zone_spill import ZoneSpill
 
+# Outcomes that count as a failure of the endpoint if the attempt does not count as a call in flight.
 ENDPOINT_FAILURES = (Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)
 
 
 class Balancer:
-    """Makes the decisions of one instance, from its own traffic alone. Implements `api.Events`."""
+    """Makes the decisions of one instance, without messages from others. Implements `api.Events`."""
 
     def __init__(
         self,
@@ -171,12 +172,12 @@
         self.updates.refill(now)
 
     def sweep_list(self) -> bool:
-        """Removes a few endpoints that the last full list does not name.
+        """Examines some of the listed endpoints and removes those that the last full list left out.
 
-        If others are left to check, it sets a timer for the next few.
+        If endpoints are left to examine, it sets a timer for the next step.
 
         Returns:
-            Whether other endpoints are left to check.
+            Whether endpoints are left to examine.
         """
         more = self.subset.endpoint_list.sweep()
         if more:
@@ -201,7 +202,7 @@
         settings = self.context.settings
         opened = open_request(now, request, settings, class_index, time_left)
         if not complete:
-            opened.time_when_complete = max(1, opened.deadline - now)
+            opened.time_left_when_complete = max(1, opened.deadline - now)
         opened.preferred_endpoints = preferred_endpoints
         self.requests[request] = opened
         class_index = opened.class_index
@@ -224,10 +225,10 @@
     def request_complete(self, now: int, request: int) -> None:
         """See `api.Events`."""
         opened = self.requests.get(request)
-        if opened is None or not opened.time_when_complete:
+        if opened is None or not opened.time_left_when_complete:
             return
-        opened.deadline = now + opened.time_when_complete
-        opened.time_when_complete = 0
+        opened.deadline = now + opened.time_left_when_complete
+        opened.time_left_when_complete = 0
         if opened.pending_endpoint is not None:
             opened.sent_at = now
             self.table.off_limit_attempts.pop(request, None)
@@ -305,7 +306,7 @@
             or attempt != opened.attempts - 1
         ):
             return
-        if opened.time_when_complete:
+        if opened.time_left_when_complete:
             # It was answered before its body was complete.
             self.request_complete(now, request)
         opened.response_started = True
@@ -317,7 +318,7 @@
     def health_checked(
         self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]
     ) -> None:
-        """Ignored: an ejected endpoint is tried with a call instead."""
+        """Ignored: no health check is requested, because an ejected endpoint gets a trial call instead."""
 
     # ---- events: timers, peers and metrics ----
 
@@ -336,10 +337,13 @@
                 self.dispatcher.finish(waited, retriable=True)
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Ignored: an instance decides from its own traffic alone."""
+        """Ignored: the instances of the policy send each other no messages."""
 
     def stats(self) -> dict[str, float]:
-        """Returns the metrics for operators, by the names that the on-call page uses."""
+        """Returns the metrics for operators, by the names that the on-call page uses.
+
+        `min_rtt_msecs` is the highest min RTT of all classes, in milliseconds.
+        """
         limit, zone_policy = self.limit, self.zones.policy
         retry_storm = self.admission.retry_storm
         return {
--- a/loadbalancer/policy/call_tracker.py
+++ b/loadbalancer/policy/call_tracker.py
@@ -15,7 +15,7 @@
 MAX_RTT_RATIO = 8.0
 # A member this many times slower than its kind gives no sample for the concurrency limit.
 OUTLIER_RATIO = 2.0
-# Outcomes that do not count as a failure of the endpoint.
+# Outcomes that do not count as a failure of the endpoint; CANCELLED and NOT_SENT are not evaluated at all.
 NO_FAILURE = (Outcome.OK, Outcome.TIMEOUT, Outcome.REJECTED)
 
 
--- a/loadbalancer/policy/class_latency.py
+++ b/loadbalancer/policy/class_latency.py
@@ -44,7 +44,7 @@
         for index, (allowance, is_unchanged) in enumerate(
             zip(allowances, unchanged, strict=True)
         ):
-            if not is_unchanged:  # A new class is appended.
+            if not is_unchanged:  # The slice replaces a class, or appends a new one.
                 mean = allowance / 2
                 running_mean = RunningMean(mean, MEAN_PRIOR_SAMPLES, SUBSET_SMOOTHING)
                 self.running_means[index : index + 1] = [running_mean]
--- a/loadbalancer/policy/concurrency_limit.py
+++ b/loadbalancer/policy/concurrency_limit.py
@@ -28,7 +28,7 @@
 MEASUREMENT_CALLS = 50  # A measurement with fewer waits beyond its minimum time.
 WINDOWS_AT_FLOOR = 5  # Consecutive windows at the floor that start a measurement.
 
-# The target round trip exceeds the min RTT by at least this fraction of the min RTT.
+# The target round trip exceeds the min RTT by at least this fraction of it, within MAX_TARGET_RATIO.
 BUFFER_RATIO = 0.25
 ALLOWANCE_RATIO = 0.5  # Fraction of the latency objective that a round trip may use up.
 MAX_TARGET_RATIO = 0.75  # Upper bound of the target, as a fraction of the objective.
@@ -39,7 +39,7 @@
 IN_FLIGHT_SMOOTHING_US = 1_000_000  # Longest averaging period of the calls in flight.
 USUAL_SMOOTHING_US = 3_000_000  # Smoothing period of the usual calls in flight.
 RAMP_ROUND_TRIPS = 2  # Smoothing period after a start instead, in mean round trips.
-USUAL_LOST_FADE_US = 12_000_000  # The usual number's fade to 0 while calls are lost.
+USUAL_LOST_FADE_US = 12_000_000  # Slowest fade to 0 of the usual number under loss.
 USUAL_LATE_FADE_US = 4_000_000  # Its fade while latency is above the target.
 # Fraction of the last good usual number that remains where calls are late but not lost.
 USUAL_LATE_FLOOR_RATIO = 0.5
@@ -121,7 +121,7 @@
         for index, (allowance, is_unchanged) in enumerate(
             zip(allowances, unchanged, strict=True)
         ):
-            if not is_unchanged:  # A new class is appended.
+            if not is_unchanged:  # The slice replaces a class, or appends a new one.
                 self.min_rtt[index : index + 1] = [0.0]
                 self.target_rtt[index : index + 1] = [float(allowance)]
                 self.measured_rtts[index : index + 1] = [[]]
@@ -253,7 +253,7 @@
         if self.measuring:
             self.measured_rtts[class_index].append(latency)
             self.calls_to_measure -= 1
-            # A measurement that ended at its last answer would have sampled only the short calls.
+            # A measurement that ended as soon as it had enough answers would sample only the short calls.
             grace = (
                 0
                 if self.calls_to_measure <= 0
@@ -430,7 +430,8 @@
         """Reduces the usual number while latency is above the target, to relieve overloaded endpoints.
 
         At their previous number of calls they would stay overloaded and slow. Where calls are late but not
-        lost, half of the last good number remains, and a window with few samples counts in proportion.
+        lost, half of the last good number remains, and a window with few samples counts in proportion. Where
+        too many are lost, the usual number fades at least as fast as over USUAL_LOST_FADE_US.
 
         Args:
             age: Length of the window in microseconds.
--- a/loadbalancer/policy/endpoint.py
+++ b/loadbalancer/policy/endpoint.py
@@ -33,7 +33,7 @@
         in_flight: Calls of this instance that are in flight at the endpoint.
         ejected: Whether it is excluded from the draws as an outlier.
         trial_pending: Whether the trial call of the ejected endpoint is in flight.
-        outside_limit: Whether its calls do not count against the concurrency limit.
+        outside_limit: Whether its calls do not count against the concurrency limit, because it is ejected.
         last_progress_at: When the last outcome arrived, or when a call was sent to the then idle endpoint.
         failure_rate: The fraction of its calls that fail, smoothed.
         consecutive_failures: Failures since its last answer.
@@ -42,7 +42,7 @@
         trial_at: When its next trial may be sent.
         ejections: The number of ejections that determines the length of the next one.
         warming_until: When its slow start ends; 0 if it is warm.
-        tokens: Calls that it may be sent now during its slow start.
+        tokens: Content of its token bucket during its slow start, up to 1; a call takes 1.
         tokens_at: When `tokens` was last updated.
         reported_queue: Requests of all instances that it holds, as last reported or estimated.
         weight: The fraction of its draws that is accepted, above 0 up to 1.
@@ -105,7 +105,7 @@
 
         Args:
             now: The time in microseconds.
-            mean_rtt: The mean round-trip time of the subset, in microseconds.
+            mean_rtt: The mean round-trip time of the class with the shortest one, in microseconds.
         """
         silence = now - self.last_progress_at
         fade = max(0.0, 1 - silence / LATENCY_MEMORY_US)
@@ -122,6 +122,6 @@
 
         Args:
             now: The time in microseconds.
-            mean_rtt: The mean round-trip time of the subset, in microseconds.
+            mean_rtt: The mean round-trip time of the class with the shortest one, in microseconds.
         """
         return (self.in_flight + 1) * self.slowness(now, mean_rtt)
--- a/loadbalancer/policy/endpoint_list.py
+++ b/loadbalancer/policy/endpoint_list.py
@@ -58,11 +58,12 @@
         by_zone: Whether each zone has its own orders.
         scopes: The deduplication scopes in which endpoints can be looked up.
         endpoints: The valid endpoints and those that still await the sweep, by number.
-        ready: The number of listed endpoints by zone.
+        ready: The number of `endpoints` by zone, with those that still await the sweep.
         possibly_cold: Endpoints that may be cold: those with a start time, until they are found to be warm.
         orders: The orders by zone and kind of machine.
         scope_orders: The orders by deduplication scope and the number of the zone or cell.
-        generation: The number of full lists that were started; it marks the endpoints that are named since.
+        generation: The number of full lists that were started. Each endpoint keeps the value at which it was
+            last named.
         valid_from: Endpoints of a lower generation were left out by a full list and are invalid.
         current_count: The number of endpoints of the present generation.
         stale_count: The number of invalid endpoints that still await the sweep.
@@ -249,7 +250,7 @@
     def warm_capacity(
         self, now: int, slow_start_time: int, initial_share: float
     ) -> dict[int, float]:
-        """Returns the capacity of each zone's listed endpoints, counted in warm endpoints.
+        """Returns the capacity of each zone's endpoints in `ready`, counted in warm endpoints.
 
         Endpoints that are found to be warm are not examined again.
 
--- a/loadbalancer/policy/endpoint_selection.py
+++ b/loadbalancer/policy/endpoint_selection.py
@@ -1,7 +1,8 @@
 """Selects the endpoint of an attempt: the better of two random choices within zone, scope and preference.
 
-Two members are drawn at random, and the one on which this instance's calls in flight take less expected time
-gets the call. Slow members are skipped in the draw in proportion to their slowness.
+Two members are drawn at random, and the one with the lower load gets the call. The load is the number of
+this instance's calls in flight at the member, including the new one, times the member's slowness. Slow
+members are skipped in the draw in proportion to their slowness.
 """
 
 from __future__ import annotations
@@ -17,15 +18,16 @@
 
 # Pairs that are drawn before the first member of the pool that may be sent the call is selected.
 MAX_PAIR_DRAWS = 3
-# Members that a draw may skip for slowness or a low weight.
+# Random picks after which a member is accepted despite its slowness or low weight.
 MAX_SKIPS = 10
 # With weights known, a load counts as lower only if the other one is more than this many times as high.
 WEIGHTED_TIE_RATIO = 1.25
 # Listed endpoints that are considered for a retry when no known endpoint is in its deduplication scope.
 MAX_SCOPE_CANDIDATES = 24
-# Bound on this instance's calls at a preferred endpoint, as a multiple of a member's share of the limit.
+# A preferred endpoint has capacity while this instance has fewer calls in flight there than this multiple of
+# the concurrency limit per eligible member.
 PREFERRED_LIMIT_RATIO = 2.0
-# Smallest bound on this instance's calls at a preferred endpoint.
+# Smallest value of that bound, in calls.
 MIN_PREFERRED_CALLS = 2
 
 
@@ -36,7 +38,7 @@
         tie_ratio: The load of the first endpoint of a pair has to exceed that of the second by this factor
             for the second to be selected; 1, or WEIGHTED_TIE_RATIO while weights are known.
         preferred_taken: First attempts that were sent to a preferred endpoint.
-        preferred_full: First attempts for which no preferred endpoint had capacity.
+        preferred_full: First attempts for which no preferred endpoint was a member with capacity.
     """
 
     def __init__(
@@ -118,8 +120,8 @@
     ) -> Endpoint | None:
         """Returns an endpoint whose cache may hold the requested data, while it has capacity, or None.
 
-        Without the bound on its calls, all requests for one key would wait at two endpoints while the others
-        are idle.
+        Without the bound on its calls, all requests for one key would wait at its preferred endpoints, two by
+        default, while the others are idle.
         """
         member_share = self.limit.allowed() / max(1, len(self.subset.eligible))
         max_calls = max(MIN_PREFERRED_CALLS, PREFERRED_LIMIT_RATIO * member_share)
@@ -203,9 +205,10 @@
     def draw_two(self, now: int, pool: list[Endpoint], urgent: bool) -> Endpoint | None:
         """Returns the less loaded of two random endpoints of the pool, or None if none may be sent a call.
 
-        The second endpoint wins only if its load is lower by more than the factor `tie_ratio`. Otherwise,
-        among idle members, all calls would go to the one that happened to answer faster recently. After
-        MAX_PAIR_DRAWS pairs the first endpoint of the pool that may be sent a call is returned.
+        The second endpoint wins only if its load is lower by more than the factor `tie_ratio`. If that were 1
+        while weights are known, then among idle members all calls would go to the one that happened to answer
+        faster recently. After MAX_PAIR_DRAWS pairs the first endpoint of the pool that may be sent a call is
+        returned.
 
         Args:
             now: The time in microseconds.
@@ -243,15 +246,14 @@
     ) -> Endpoint:
         """Returns a random endpoint of the pool other than `other`.
 
-        An endpoint that is slower than the mean is skipped in proportion to its slowness, and one with a
-        weight below 1 in proportion to the missing weight. Without this, two slow endpoints of a small
-        subset would be drawn together every few calls. After MAX_SKIPS draws the last endpoint drawn is
-        returned, unless it is `other`.
+        An endpoint is accepted with a probability of its weight, divided by its slowness if that is above 1.
+        Without this, two slow endpoints of a small subset would be drawn together every few calls. After
+        MAX_SKIPS picks the endpoint picked last is returned; if that is `other`, picking starts again.
 
         Args:
             now: The time in microseconds.
             pool: The candidates; at least two.
-            mean_rtt: The mean round-trip time of the subset, in microseconds.
+            mean_rtt: The mean round-trip time of the class with the shortest one, in microseconds.
             other: The endpoint that was drawn first, if any.
         """
         random = self.context.rng.random
--- a/loadbalancer/policy/endpoint_table.py
+++ b/loadbalancer/policy/endpoint_table.py
@@ -44,8 +44,9 @@
     def get_or_create(self, now: int, listed: ListedEndpoint) -> Endpoint:
         """Returns the state of a listed endpoint, and creates it for a new one.
 
-        A new endpoint, unless it is cold, is assumed to hold as many requests as endpoints hold on average.
-        Otherwise an instance that adds unknown members would send all its calls to them.
+        A new endpoint, unless it is cold, is assumed to hold as many requests as endpoints usually hold, or
+        as members hold on average now if that is more. Otherwise an instance that adds unknown members would
+        send all its calls to them.
 
         Args:
             now: The time in microseconds.
@@ -99,10 +100,11 @@
                 self.unlist(endpoint)
 
     def forget_idle(self) -> None:
-        """Drops the state of endpoints that are gone, and of all but the latest MAX_FORMER_MEMBERS others.
+        """Drops the state of idle endpoints, except for a number of listed ones.
 
-        An endpoint with a call in flight stays, including a call that does not count as one, because the
-        call's outcome has to be counted and shows whether the request may have run.
+        Of the idle endpoints, the last MAX_FORMER_MEMBERS that were added stay, as far as they are listed. An
+        endpoint with a call in flight stays, including a call that does not count as one, because the call's
+        outcome has to be counted and shows whether the request may have run.
         """
         off_limit = {endpoint.id for endpoint in self.off_limit_attempts.values()}
         idle = [
--- a/loadbalancer/policy/outlier_detection.py
+++ b/loadbalancer/policy/outlier_detection.py
@@ -1,7 +1,8 @@
 """Ejects members that fail or become silent, sends them trials, and readmits them.
 
-An ejected member gets no calls except one trial at a time. The first ejection lasts EJECTION_TIME_US, and
-each further one twice as long as the one before, up to 16 times EJECTION_TIME_US.
+An ejected member gets no calls except one trial at a time, and is readmitted when a trial is answered. The
+length of an ejection is the time until a trial is due. It is EJECTION_TIME_US at first, and doubles with each
+ejection and each failed trial, up to 16 times EJECTION_TIME_US; a readmission reverses one doubling.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
         latency: The mean round-trip times by class.
         ejected: The ejected endpoints.
         next_trial_at: The earliest time at which a trial may be due, in microseconds.
-        failure_rate: The fraction of calls that fail over the whole subset, smoothed.
+        failure_rate: The fraction of calls that fail over the entire subset, smoothed.
     """
 
     def __init__(self, subset: Subset, latency: ClassLatency) -> None:
@@ -76,7 +77,7 @@
             endpoint: The endpoint of the call.
             answered: Whether the call was answered.
             failed: Whether the endpoint caused the call to fail. A timeout or a rejection counts neither as
-                answered nor as failed.
+                answered nor as failed, but extends the ejection if the call was a trial.
         """
         if answered:
             endpoint.consecutive_failures = 0
@@ -109,6 +110,7 @@
     def eject_if_silent(self, now: int, endpoint: Endpoint) -> bool:
         """Ejects a member with calls in flight that had no outcome for SILENT_ROUND_TRIPS round-trip times.
 
+        The time is the mean round-trip time of the class with the longest one.
         A single call in flight may just take long, so the member is ejected only after twice that time.
 
         Returns:
@@ -125,7 +127,7 @@
     # ---- ejection ----
 
     def eject(self, now: int, endpoint: Endpoint, silent: bool) -> None:
-        """Ejects a member, or extends its ejection, unless too many members are ejected.
+        """Ejects a member, or extends its ejection, unless too many members are ejected or a panic is active.
 
         Endpoints that are not members are not ejected: the last calls of a drained endpoint fail, and an
         ejection would send it a trial.
--- a/loadbalancer/policy/queue_reports.py
+++ b/loadbalancer/policy/queue_reports.py
@@ -14,7 +14,7 @@
 # The usual queue is learned while round trips are within this fraction of the target.
 LOW_RTT_RATIO = 0.5
 USUAL_QUEUE_SMOOTHING = 0.002  # Weight of the newest report in the usual queue.
-# While latency is low, an endpoint may hold this multiple of the usual queue.
+# While latency is low, or for an urgent class, an endpoint may hold this multiple of the usual queue.
 TOLERATED_QUEUE_RATIO = 2.0
 
 
@@ -34,7 +34,7 @@
         self.limit = limit
         # Requests that an endpoint usually reports.
         self.usual_queue = float(MIN_LIMIT)
-        self.mean_of_members = 0.0  # Requests that members report now; 0 if unknown.
+        self.mean_of_members = 0.0  # Reported requests per member; 0 if unknown.
 
     def record(self, endpoint: Endpoint, report: Sequence[float]) -> None:
         """Applies a load report, if it has the column of the queue.
--- a/loadbalancer/policy/request.py
+++ b/loadbalancer/policy/request.py
@@ -21,12 +21,12 @@
         pending_endpoint: The endpoint of the attempt in flight, if there is one.
         executed_by: The first endpoint that may have run it, if there is one.
         executed_at: When the attempt was sent to that endpoint, in microseconds.
-        scope_ids: The id of its first endpoint's deduplication scope (all, zone, cell), indexed by the value
-            of `DeduplicationScope`.
+        scope_ids: The numbers of the deduplication scopes of `executed_by` or, while that is None, of the
+            last attempt's endpoint: 0 for all, its zone and its cell, indexed by `DeduplicationScope`.
         response_started: Whether the response to the client has started, so that no retry can follow.
         sent_at: When the last attempt was sent, in microseconds.
-        time_when_complete: While its body is incomplete, the time in microseconds that remains to it from the
-            completion of the body; else 0.
+        time_left_when_complete: While its body is incomplete, the time in microseconds that will remain until
+            its deadline when the body is complete; else 0.
         not_replayable: Whether part of its body is no longer available, so that it cannot be sent again.
         preferred_endpoints: Endpoints for its first attempt, as far as one of them has capacity.
     """
@@ -46,7 +46,7 @@
         "scope_ids",
         "sent_at",
         "settings",
-        "time_when_complete",
+        "time_left_when_complete",
     )
 
     def __init__(
@@ -70,7 +70,7 @@
         self.scope_ids = (0, 0, 0)
         self.response_started = False
         self.sent_at = 0
-        self.time_when_complete = 0
+        self.time_left_when_complete = 0
         self.not_replayable = False
         self.preferred_endpoints: Sequence[int] = ()
 
@@ -82,6 +82,6 @@
         Args:
             now: The current time in microseconds.
         """
-        if self.time_when_complete:
-            return now + self.time_when_complete
+        if self.time_left_when_complete:
+            return now + self.time_left_when_complete
         return self.deadline
--- a/loadbalancer/policy/request_dispatch.py
+++ b/loadbalancer/policy/request_dispatch.py
@@ -66,7 +66,7 @@
         if endpoint.outside_limit and request.idempotency != Idempotency.NOT_IDEMPOTENT:
             tick = self.context.settings.tick_us
             timeout = self.outliers.trial_timeout(request.class_index, timeout, tick)
-        if request.time_when_complete:
+        if request.time_left_when_complete:
             self.table.off_limit_attempts[request.id] = endpoint
         else:
             self.calls.start(now, endpoint)
@@ -132,7 +132,7 @@
             self.context.actions.fail(request.id)
 
     def enqueue(self, now: int, request: Request) -> None:
-        """Queues a request until a slot is free. Rejects it if the queue is full or no endpoint eligible."""
+        """Queues a request until a slot is free. Rejects it if the queue is full or no member is eligible."""
         if not self.subset.eligible or self.queue.is_full():
             self.admission.rejected += 1
             self.finish(request, retriable=True)
--- a/loadbalancer/policy/retry_policy.py
+++ b/loadbalancer/policy/retry_policy.py
@@ -1,7 +1,7 @@
 """Decides which failed attempts are retried, and when a rejected client should return.
 
 Retries multiply through tiers and clients, so each instance spends a budget for them that is a fraction of
-its first attempts. A request that may have run is repeated only if that does no harm.
+the requests that arrive, admitted or not. A request that may have run is repeated only if that does no harm.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from loadbalancer.policy.endpoint import Endpoint
 from loadbalancer.policy.request import Request
 
-RETRY_RATIO = 0.1  # Retries allowed per first attempt.
+RETRY_RATIO = 0.1  # Retries allowed per request that arrives.
 # Outside a retry storm a rejected client should return after the latency objective divided by this number.
 RETRY_AFTER_DIVISOR = 8
 
@@ -93,7 +93,7 @@
 
 
 class RetryBudget:
-    """A budget of tokens for retries: each first attempt earns RETRY_RATIO of one, each retry spends one."""
+    """A budget of tokens for retries: each new request earns RETRY_RATIO of one, each retry spends one."""
 
     def __init__(self, limit: ConcurrencyLimit, latency: ClassLatency) -> None:
         """Starts with MIN_LIMIT tokens.
--- a/loadbalancer/policy/retry_storm.py
+++ b/loadbalancer/policy/retry_storm.py
@@ -6,7 +6,8 @@
 admitted in the order of their priority weights, and within each class first attempts before repeats.
 
 Repeats spend from a budget that is a fraction of the served requests, so that clients that ignore every
-Retry-After cannot feed the storm; only the class with the highest weight is exempt. If clients do not mark
+Retry-After cannot feed the storm; during the storm the class with the highest weight is exempt, if classes
+are admitted by weight (`RetryStormRules.by_priority`). If clients do not mark
 their repeats, repeats cannot be told from first attempts: their number is estimated, and they are admitted
 by weight like all other requests.
 
@@ -30,8 +31,8 @@
 # Period over which the usual rates are smoothed; they are learned outside storms only.
 USUAL_RATE_SMOOTHING_US = 20_000_000
 
-# A storm starts when more than this fraction of the arriving requests is rejected and more than
-# STORM_REPEAT_RATIO of them, beyond the usual fraction, are repeats.
+# A storm starts when more than this fraction of the arriving requests is rejected, more than
+# STORM_REPEAT_RATIO of them, beyond the usual fraction, are repeats, and at least one per tick arrives.
 STORM_REJECTED_RATIO = 0.2
 STORM_REPEAT_RATIO = 0.15
 # A storm ends when no more than this fraction is rejected for CALM_TIME_US.
@@ -40,14 +41,15 @@
 # Period after a storm over which the budget for repeats ceases to apply.
 RECOVERY_TIME_US = 3_000_000
 
-# Factor by which the admitted rate grows in a tick while the admitted requests are served.
+# Factor by which the admitted rate grows in a tick, besides one request per second, while the admitted
+# requests are served. The rate grows up to twice the sum of the served rate and the rate always admitted.
 RATE_GROWTH_PER_TICK = 1.08
 # The rate grows only if at least this fraction of it is admitted.
 MIN_RATE_UTILIZATION = 0.5
 # Factor by which the admitted rate shrinks in a tick, though not below the rate that is served.
 RATE_SHRINK_PER_TICK = 0.8
-# The rate shrinks when more than this fraction of the admitted requests failed, was rejected by the
-# concurrency limit or found no endpoint.
+# The rate shrinks when the requests that failed, were rejected by another rule such as the concurrency limit,
+# or found no endpoint are more than this fraction of the admitted ones.
 MAX_MISSED_RATIO = 0.05
 # The rate that is always admitted is at least this number of requests per second. It is the usual rate of
 # the class with the highest weight if that is more, up to MIN_RATE_RATIO of the usual rate of all classes.
@@ -142,7 +144,7 @@
         self.update_classes(priority_weights)
 
     def update_classes(self, priority_weights: Sequence[float]) -> None:
-        """Applies changed classes: counts by class restart at 0, and an active storm stays active.
+        """Applies changed classes: counts and usual rates restart at 0, and an active storm stays active.
 
         Args:
             priority_weights: The priority weights by class.
@@ -156,7 +158,7 @@
         self.admitted = ClassRates(count)
         self.served, self.failed = ClassRates(count), ClassRates(count)
         self.rejections = ClassRates(count)
-        # Rejections of requests that had been admitted here.
+        # Rejections by other rules: of requests that were admitted here, or never checked here.
         self.blocked = ClassRates(count)
         # Whether the last call of `admits` returned False and its rejection is not yet recorded.
         self.last_declined = False
@@ -177,7 +179,8 @@
     ) -> bool:
         """See `api.RetryStormPolicy`.
 
-        The caller answers a request that is not admitted at once, and calls `record_rejection` for it.
+        If a request is not admitted, the caller rejects it at once and calls `record_rejection` for it before
+        the next call of this method.
         """
         self.advance(now)
         self.last_declined = False
@@ -186,19 +189,19 @@
         if not self.active and now >= self.ended_at + RECOVERY_TIME_US:
             self.admitted.add(class_index)
             return True
-        # The client would have gone before the answer arrives.
+        # The client would have disconnected before the answer arrives.
         too_late = self.active and time_left < needed
         fractions = (
             self.admitted_repeat_fractions if repeat else self.admitted_fractions
         )
-        below_threshold = (
+        over_rate = (
             self.active
             and self.rules.by_priority
             and self.rng.random() >= fractions[class_index]
         )
         if (
             too_late
-            or below_threshold
+            or over_rate
             or (repeat and not self.spend_repeat_budget(now, class_index))
         ):
             self.last_declined = True
@@ -244,7 +247,7 @@
     # ---- the state of the storm ----
 
     def advance(self, now: int) -> None:
-        """Closes the ticks that have ended; if the clock jumps ahead, those of one second at most."""
+        """Closes the ticks that have ended; after a gap of over 2 seconds, only those of the last second."""
         self.now = max(self.now, now)
         if self.now - self.tick_started_at > 2 * WINDOW_TICKS * TICK_US:
             self.tick_started_at = self.now - WINDOW_TICKS * TICK_US
@@ -294,8 +297,8 @@
     def adapt_rate(self) -> None:
         """Raises the rate while nearly all admitted requests are served, and lowers it otherwise.
 
-        The rate never falls below a fraction of the usual rate. Otherwise too few calls would reach endpoints
-        that recover, and seconds would pass before their recovery shows.
+        The rate never falls below MIN_RATE_PER_S and a fraction of the usual rate. Otherwise too few calls
+        would reach endpoints that recover, and seconds would pass before their recovery shows.
         """
         served, admitted = float(self.served.total), self.admitted.last_tick
         highest_class_rate = self.usual_rates[self.classes_by_weight[0]]
--- a/loadbalancer/policy/settings.py
+++ b/loadbalancer/policy/settings.py
@@ -83,7 +83,7 @@
         tiers: Number of tiers.
         zone: The zone this instance is in.
         instances: Number of instances that send to this tier, this one included.
-        index: This instance's number among them.
+        index: This instance's number among them, from 0.
         ring_position: This instance's position among the live instances and their number, if known.
         min_subset_size: Minimum size of the subset, as far as there are enough endpoints.
         tick_us: Minimum time between two batches of events.
@@ -95,7 +95,8 @@
         retry_after: Whether a rejection may tell the client when to return.
         max_retry_after: The longest delay that a rejection may give.
         max_open_requests: Maximum number of calls in flight.
-        list_must_be_polled: Whether the endpoint list must be polled.
+        list_must_be_polled: Whether the policy has to start the polls of the endpoint list (`Actions.watch`)
+            and repeat failed ones; if not, the host subscribes to the list by itself.
         list_poll_interval: The longest time between two polls.
         list_weights: Whether the weights in the endpoint list can be compared with each other.
         slow_start_time: The time after which a started endpoint is warm.
--- a/loadbalancer/policy/slow_start.py
+++ b/loadbalancer/policy/slow_start.py
@@ -13,7 +13,8 @@
 US_PER_SECOND = 1e6
 # Smoothing time of the rate that warm members get.
 WARM_RATE_SMOOTHING_US = 2_000_000
-# While calls are late, cold endpoints take this fraction of the load that overloads them.
+# Cold endpoints take at most this fraction of the load that overloads them, and all of it while calls are
+# late or members overloaded, if enough members are warm.
 OVERLOAD_FRACTION = 0.75
 # While few members are warm, cold endpoints take at least this fraction of the load that overloads them.
 FEW_WARM_OVERLOAD_FRACTION = 0.5
@@ -110,9 +111,10 @@
         self.learned_instances += weight * (instances - self.learned_instances)
 
     def may_send(self, now: int, endpoint: Endpoint, urgent: bool) -> bool:
-        """Returns whether an endpoint may be sent one more call, and takes a token if it is cold.
+        """Returns whether an endpoint may be sent one more call, and takes its token if it is cold.
 
-        An overloaded endpoint may not, and a cold endpoint only if its token bucket is full.
+        An overloaded endpoint may not, and a cold endpoint only if its token bucket is full. The caller has
+        to send the call, because the token is spent.
 
         Args:
             now: The time in microseconds.
@@ -156,10 +158,11 @@
 
         After an outage each of a few members would get only the rate that one of many members got, and all
         calls would wait until the last endpoint is warm. The factor is therefore higher the fewer members
-        there are. While few members are warm, each cold one takes half of the load that overloads it, and
-        more while calls are late or members overloaded. Where few endpoints are left, more instances share
-        each of them than when the rate was learned, so the factor is reduced accordingly. OVERLOAD_FRACTION
-        leaves a margin for random variation.
+        there are now than were warm before. While few members are warm, each cold one takes at least half of
+        the load that overloads it (FEW_WARM_OVERLOAD_FRACTION). While enough are warm, but calls are late or
+        members overloaded, it takes OVERLOAD_FRACTION of that load, which is the upper bound in every case
+        and leaves a margin for random variation. Where few endpoints are left, more instances share each of
+        them than when the rate was learned, so the bound is reduced accordingly.
         """
         overload = self.context.settings.overload_multiple
         members = max(1, len(self.subset.members))
--- a/loadbalancer/policy/subset.py
+++ b/loadbalancer/policy/subset.py
@@ -1,10 +1,11 @@
 """Selects the subset of the listed endpoints that this instance uses.
 
 All instances of a tier share one order of the endpoints, and each uses a slice of it, whose size grows with
-the instance's calls in flight. The slices start evenly spaced, so the numbers of instances that use any two
-endpoints differ by at most one, without messages between instances. A new endpoint gets its share of the
-calls as soon as it is listed, and a change of the list moves at most one further member for each kind of
-machine.
+the instance's calls in flight. The slices start evenly spaced, so while they are equally long, the numbers of
+instances that use any two endpoints differ by at most one, without messages between instances. A new endpoint
+gets its share of the calls as soon as it is listed. A change of the list changes at most one member of a
+slice for each kind of machine, besides the changed endpoint. Where calls stay in their zone, each zone has
+its own order, and the sizes apply to each zone.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 from loadbalancer.policy.zone_routing import ZoneRouting
 from loadbalancer.policy.zone_spill import ZoneSpill
 
-# Smallest number of members, of an instance with hardly any call in flight.
+# Smallest target size, in members: that of an instance with hardly any call in flight.
 SUBSET_LEAST = 4
 # Largest number of members of an instance that has at most its fair share of the traffic.
 SUBSET_MOST = 24
 # Largest number of members of an instance with several times its fair share, or where instances are few.
 SUBSET_BOUND = 128
-# Members for each call in flight, between the smallest and the largest number.
+# Members for each call in flight, between the smallest and the largest target size.
 MEMBERS_PER_CALL = 2
 # Weight of the newest sample in the mean number of calls in flight.
 IN_FLIGHT_SMOOTHING = 0.05
 # The members are selected again when the target size leaves this range, relative to the present size.
 SHRINK_RATIO, GROWTH_RATIO = 0.5, 1.25
-# The capacity update is delayed by one window for each of this many endpoints that may be cold.
+# Endpoints that may be cold, for each window by which the next capacity update is postponed.
 COLD_CHECKS_PER_WINDOW = 1000
 
 Kinds = dict[int, RankedOrder[ListedEndpoint]]
@@ -153,7 +154,8 @@
 
         An instance with several times its fair share of the traffic may have more than SUBSET_MOST members.
         Otherwise it would have one call at each overloaded member and reject the rest. Not every instance
-        may widen its subset during a shortage, because endpoints would then get more such calls.
+        may widen its subset during a shortage, because each instance may send one call even to an overloaded
+        member, and endpoints would then get more such calls.
         SUBSET_LEAST keeps an idle instance from depending on very few endpoints, half of which may be cold.
         """
         settings = self.context.settings
@@ -167,9 +169,10 @@
     def size_of(self, kinds: Kinds) -> int:
         """Returns how many of a zone's endpoints this instance uses.
 
-        Where instances are few, each uses its entire part of the order, or most of a large fleet would be
-        idle. A zone with few endpoints is used completely: a sole instance that has just started would
-        overload four of ten endpoints and reject what the six others could take.
+        An instance's part is the number of endpoints per instance. Where instances are few, each uses its
+        entire part of the order, up to SUBSET_BOUND, or most of a large fleet would be idle. Otherwise too,
+        no instance uses less than its part: a sole instance that has just started would overload four of ten
+        endpoints and reject what the six others could take. A zone with few endpoints is used completely.
 
         Args:
             kinds: The zone's orders, by kind of machine.
@@ -245,7 +248,7 @@
         self.eligible_by_zone = by_zone
         self.local = by_zone.get(self.context.settings.zone, [])
         if self.spill.enabled and self.eligible and not self.zones.decision.shares:
-            self.spill.raise_floor(len(self.local), len(self.eligible))
+            self.spill.update_floor(len(self.local), len(self.eligible))
 
     # ---- capacity ----
 
@@ -254,7 +257,8 @@
 
         The capacity is counted in warm endpoints; a cold endpoint counts as the fraction that it can take
         so far. The sum visits every endpoint that may be cold, so it is updated less often the more of them
-        there are.
+        there are. The members are assumed to be as warm as all endpoints, and all instances to have as many
+        members as this one.
 
         Args:
             now: The time in microseconds.
--- a/loadbalancer/policy/tenant_quota.py
+++ b/loadbalancer/policy/tenant_quota.py
@@ -78,8 +78,10 @@
     def count_request(self, now: int, tenant: int) -> tuple[bool, bool]:
         """Counts a request and compares its tenant's usage with the quota.
 
-        An instance that receives far more than its part of all traffic recognizes this by the median of
-        its tenants' usage, and allows each tenant more by the same factor.
+        A request counts as over quota at random, with the probability by which the tenant's requests exceed
+        the allowed number, as a fraction of them. An instance that receives far more than its part of all
+        traffic recognizes this by the median of its tenants' usage, and allows each tenant more by the same
+        factor.
 
         Args:
             now: The current time in microseconds.
--- a/loadbalancer/policy/zone_failover.py
+++ b/loadbalancer/policy/zone_failover.py
@@ -2,11 +2,11 @@
 
 The order of preference is the own zone, then near zones, then far zones. Load that exceeds the own zone's
 capacity spills to the next zones, up to a configured fraction of their capacity. The remaining excess is
-rejected at once, lowest priority weight first. `zone_recovery` describes how a lost zone returns.
+rejected at once, lowest priority weight per cost first. `zone_recovery` describes how a lost zone returns.
 
-Every instance decides from the shared endpoint list and from its own load, without exchanging messages.
-Where the list shows that a zone is short of endpoints, the instances of that zone spill, and the instances
-of other zones leave the spare capacity to them.
+Every instance decides from the shared endpoint list and from its own load and failures, without exchanging
+messages. Where a zone is short of usable endpoints, the instances of that zone spill, and the instances of
+other zones leave the spare capacity to them.
 
 This module uses no I/O, clock or randomness. Times are in microseconds. docs/zones.md is for operators.
 """
@@ -24,7 +24,7 @@
 LOAD_SMOOTHING_US = 2_000_000
 # Smoothing time of the rate at which an instance sends calls to its own zone.
 LOCAL_RATE_SMOOTHING_US = 5_000_000
-# The own zone has to be observed serving calls for this long before any decision.
+# The own zone has to be observed healthy for this long before calls are divided, unless operators set a rate.
 MIN_OBSERVED_TIME_US = 10_000_000
 # Smoothing time of the usual load.
 USUAL_LOAD_SMOOTHING_US = 30_000_000
@@ -78,8 +78,9 @@
         zones: The state of each zone, by number.
         panic: Whether so few endpoints are healthy that none is avoided.
         decided_at: The time of the last decision, in microseconds.
-        observed_time: How long the own zone has been observed serving calls well, in microseconds.
-        endpoint_rate: Calls per second that one warm endpoint is assumed to take from all instances.
+        observed_time: How long the own zone has been observed healthy and steady, in microseconds.
+        endpoint_rate: Calls per second that one warm endpoint is assumed to take from all instances; 0 while
+            unknown.
         proven_rate: The highest rate that a warm endpoint has served well, in calls per second.
         local_rate: Calls per second that this instance sends to its own zone.
         load: Calls per second that arrive at this instance.
@@ -147,7 +148,7 @@
         self.learn_endpoint_rate(now, elapsed, observation, instances_per_zone)
         learned = self.observed_time >= MIN_OBSERVED_TIME_US or self.rules.server_rate
         if self.endpoint_rate <= 0 or not learned:
-            # An instance that has just started would take the low rate it has observed for the capacity.
+            # An instance that has just started would mistake the low rate it has observed for the capacity.
             return ZoneDecision((), (), self.panic)
         return self.divide_load(observation, instances_per_zone)
 
@@ -224,7 +225,7 @@
         self.approved_returns.discard(number)
 
     def any_zone_short(self) -> bool:
-        """Returns whether the endpoint list shows that some zone has lost endpoints."""
+        """Returns whether some zone is short of usable endpoints, as listed, warm, healthy and recovered."""
         return any(zone.is_short for zone in self.zones.values())
 
     # ---- load and rates ----
@@ -252,7 +253,7 @@
         observation: ZoneObservation,
         instances_per_zone: float,
     ) -> None:
-        """Learns the rate that one warm endpoint can take from the proven rate and from trying more."""
+        """Learns the rate that one warm endpoint can take: the proven rate, and tentatively more."""
         attempts = observation.attempts_by_zone.get(self.own_zone, 0)
         weight = min(1.0, elapsed / LOCAL_RATE_SMOOTHING_US)
         self.local_rate += weight * (
@@ -289,7 +290,7 @@
         return settled and zone.usable_endpoints >= max(1.0, SHORT_RATIO * listed)
 
     def raise_proven_rate(self, elapsed: int, rate: float) -> None:
-        """Records that the own zone's endpoints served this rate well.
+        """Records that the own zone's endpoints were healthy at this rate.
 
         Args:
             elapsed: The time for which they served it, in microseconds.
@@ -346,7 +347,7 @@
         Args:
             shares: The fraction of the load that each zone takes; extended in place.
             unserved: Calls per second that exceed the own zone's capacity.
-            instances_per_zone: Instances of the own zone, which are assumed to send as much as this one.
+            instances_per_zone: Instances of a zone, which are assumed to send as much as this one.
 
         Returns:
             Calls per second that no zone takes.
--- a/loadbalancer/policy/zone_recovery.py
+++ b/loadbalancer/policy/zone_recovery.py
@@ -57,7 +57,7 @@
 
     @property
     def is_short(self) -> bool:
-        """Whether the zone has less than SHORT_RATIO of its usual endpoints."""
+        """Whether fewer than SHORT_RATIO of the zone's usual endpoints are usable."""
         return self.usable_endpoints < SHORT_RATIO * self.usual_endpoints
 
     def has_most(self, listed: int) -> bool:
@@ -99,14 +99,14 @@
     ) -> None:
         """Updates the numbers of usual and usable endpoints.
 
-        A zone that is lost and returns every few seconds fails calls each time. From its second loss on it
-        therefore has to stay for longer until all its endpoints are usable.
+        A zone that is lost and returns every few seconds fails calls each time. From its second loss on,
+        therefore, none of its endpoints is usable while it is lost, and the ramp after its return is longer.
 
         Args:
             now: The time in microseconds.
             elapsed: The time since the last update, in microseconds.
             listed: The number of listed endpoints.
-            warm: The number of healthy endpoints, counted in warm ones.
+            warm: The number of listed endpoints, counted in warm ones; outside a panic, only healthy ones.
             ramp_time: The length of the recovery ramp after a first loss, in microseconds.
         """
         faded = self.usual_endpoints * max(0.0, 1 - elapsed / SIZE_MEMORY_US)
--- a/loadbalancer/policy/zone_routing.py
+++ b/loadbalancer/policy/zone_routing.py
@@ -40,7 +40,8 @@
         policy: The zone policy, or None.
         decision: The last decision; it has no shares while no policy has decided.
         decided_at: The time of the last decision, in microseconds.
-        rate_per_member: Calls per second that a warm endpoint of the own zone can take from this instance.
+        rate_per_member: Calls per second that a warm member of the own zone can take from this instance: the
+            rate of all endpoints there, divided among the members; 0 if unknown.
         requests_by_class: Requests since the last decision, by class.
         attempts_by_zone: Attempts since the last decision, by zone.
     """
--- a/loadbalancer/policy/zone_spill.py
+++ b/loadbalancer/policy/zone_spill.py
@@ -28,8 +28,8 @@
     """Decides how much of its traffic this instance sends to other zones.
 
     Attributes:
-        enabled: Whether zones count. If they do not, calls go to the endpoints of all zones alike.
-        share: The fraction of calls that may leave the own zone.
+        enabled: Whether calls prefer the own zone. If not, they go to the endpoints of all zones alike.
+        share: The fraction of calls that may leave the own zone: they go to members of all zones alike.
         floor: The smallest value of `share`.
         local_ratio: The mean latency of the own zone's endpoints, relative to the target.
         remote_ratio: The mean latency of the other zones' endpoints, relative to the target.
@@ -37,7 +37,7 @@
     """
 
     def __init__(self, context: PolicyContext, has_zone_policy: bool) -> None:
-        """Starts with all calls in the own zone, or with zones that do not count.
+        """Starts with all calls in the own zone, or with calls to all zones alike.
 
         Args:
             context: The settings.
@@ -50,7 +50,7 @@
         self.local_ratio, self.remote_ratio, self.best_ratio = 0.5, 0.5, 0.0
 
     def should_enable(self, has_zone_policy: bool) -> bool:
-        """Returns whether zones count because of the cost of crossing them or because of a zone policy."""
+        """Returns whether calls prefer their zone, for the cost of crossing zones or for a zone policy."""
         cost = self.context.settings.cross_zone_cost
         return has_zone_policy or cost >= MIN_CROSSING_COST
 
@@ -60,18 +60,19 @@
             self.enabled = not self.enabled
             self.share = self.floor = 0.0 if self.enabled else 1.0
 
-    def raise_floor(self, local: int, eligible: int) -> None:
-        """Raises the smallest share to the calls that exceed the own zone's fraction of all endpoints.
+    def update_floor(self, local: int, eligible: int) -> None:
+        """Sets the smallest share to the fraction of this instance's calls that the own zone cannot take.
 
-        The floor assumes that all instances send the same load. Without it, a zone with few endpoints would
-        have to take all calls of the only instance in that zone.
+        A zone is assumed to take the same fraction of all calls as it has of the endpoints, all instances to
+        send the same load, and this instance to be the only one in its zone. Without the floor, a zone with
+        few endpoints would have to take all calls of the only instance in that zone.
 
         Args:
             local: Members of the own zone that may be drawn.
             eligible: All members that may be drawn; above 0.
         """
-        own_zone_fraction = local * self.context.settings.instances / eligible
-        self.floor = max(0.0, 1 - own_zone_fraction)
+        servable_fraction = local * self.context.settings.instances / eligible
+        self.floor = max(0.0, 1 - servable_fraction)
         self.share = max(self.share, self.floor)
 
     def add_latency(self, zone: int, target_ratio: float) -> None:
