--- a/loadbalancer/forecast/accuracy.py
+++ b/loadbalancer/forecast/accuracy.py
@@ -1,9 +1,10 @@
-"""How accurate forecasts were, by kind of change.
+"""Tracks how accurate a node's forecasts are, by kind of change.
 
-Each forecast is compared with the hit ratios that answers report after the change. After one that was off by
-more than its own margin, forecasts of that kind are distrusted until several in a row were right; they go on
-being made meanwhile, so that they can be. The error of past forecasts widens the next margin. Where no answer
-reports hits nothing is ever judged, and nothing counts as proven.
+Each forecast is compared with the hit ratios that answers report after the change. If a forecast is off by
+more than its own margin, forecasts of that kind are distrusted until several in a row are right. They are
+still made and compared in the meantime, so that they can become trusted again. The error of past forecasts
+widens the margin of the next one. Where no answer reports hits, no forecast is ever evaluated, and none
+counts as proven.
 """
 
 from __future__ import annotations
@@ -15,37 +16,40 @@
 
 from loadbalancer.forecast.forecast_result import Forecast, unknown_forecast
 
-MAX_ERRORS = 8  # remembered of each kind of change
-TRUSTED_AGAIN = 2  # forecasts that have to be right in a row, after one that was off
-UNPROVEN_ERROR = 0.02  # taken for a kind of change of which nothing has been judged
-MIN_SPAN_ANSWERS = 200  # that reported, for a span to count
-MIN_SPANS = 2  # for a forecast to be judged
-MAX_TRACKED_S = 120.0
-MAX_RECENT = 20
-SPAN_POINTS = 8  # at which the forecast is averaged over a span
+MAX_ERRORS = 8  # latest errors kept for each kind of change
+# Right forecasts in a row until a distrusted kind of change is trusted again.
+RIGHT_TO_REGAIN_TRUST = 2
+# Assumed root mean square error, as a difference of hit ratios, of a kind without an evaluated forecast.
+UNPROVEN_ERROR = 0.02
+MIN_SPAN_ANSWERS = 200  # answers that must report hits or misses for a span to count
+MIN_SPANS = 2  # spans that a forecast needs to be evaluated
+MAX_TRACKED_S = 120.0  # seconds after the change for which a forecast is tracked
+MAX_RECENT = 20  # forecasts kept after their tracking ended
+SPAN_POINTS = 8  # points of a span over which the forecast is averaged
+# Standard deviations of an observed hit ratio that are put down to chance.
 CHANCE_DEVIATIONS = 2
-# One span in twenty lies outside by chance.
+# Fraction of the spans that lie outside the margin by chance: one in twenty.
 OUTSIDE_BY_CHANCE = 0.05
-LONGEST_SHOWN_S = 1e9
+LONGEST_SHOWN_S = 1e9  # longer recovery times, in seconds, are published as null
 US_PER_S = 1e6
 
 
 class TrackingEnd(StrEnum):
-    """Why a forecast is not tracked any more; the values are published."""
+    """Why the tracking of a forecast ended; the values are published."""
 
     OPEN = ""
     COMPLETE = "whole"
-    SUPERSEDED = "overtaken"  # by another change
+    SUPERSEDED = "overtaken"  # another change was made
 
 
 class ObservedSpan(NamedTuple):
-    """What answers reported over some time.
+    """The cache hit ratio that answers reported over a span of time.
 
     Attributes:
-        start_s: Seconds after the change.
-        end_s: The same.
-        hit_ratio: Of the answers that reported.
-        answers: How many those were.
+        start_s: Start of the span, in seconds after the change.
+        end_s: End of the span, in seconds after the change.
+        hit_ratio: Hit ratio of the answers that reported whether they came from a cache.
+        answers: Number of those answers.
     """
 
     start_s: float
@@ -56,19 +60,19 @@
 
 @dataclass
 class TrackedForecast:
-    """One forecast, while it is tracked and after.
+    """One forecast, during and after its tracking.
 
     Attributes:
-        number: Of all forecasts of this node.
+        number: Number of the forecast, counted over all forecasts of this node.
         kind: The kind of change.
         made_at: When the change was made, by the node's clock (`Node.now`), in microseconds.
-        forecast: What was expected.
-        trusted: Whether it was given out, or an unknown one in its place.
-        offset: What the answers seen here hit more than the fleet before the change.
-        spans: What was observed.
-        end: Why it is not tracked any more.
-        error: Root mean square error over the spans.
-        inside: Whether what was observed lay within the margin.
+        forecast: The forecast itself.
+        trusted: Whether the forecast was published; otherwise an unknown one was published in its place.
+        offset: Hit ratio of the answers that this node observed before the change, less that of the fleet.
+        spans: The observed spans.
+        end: Why the tracking ended.
+        error: Root mean square error over the spans, as a difference of hit ratios.
+        inside: Whether the observed hit ratios lay within the margin.
     """
 
     number: int
@@ -83,7 +87,7 @@
     inside: bool = True
 
     def table(self) -> dict[str, Any]:
-        """For operators, by the published keys."""
+        """Returns the forecast and its result for operators, by the published keys."""
         forecast = self.forecast
         shown = forecast.recovery_s < LONGEST_SHOWN_S
         return {
@@ -105,8 +109,8 @@
             "inside": self.inside,
         }
 
-    def judge(self) -> None:
-        """Compares what was expected with what was observed."""
+    def evaluate(self) -> None:
+        """Compares the forecast with the observed spans and sets `error` and `inside`."""
         squares = outside = 0.0
         for span in self.spans:
             deviation = abs(self._expected(span) + self.offset - span.hit_ratio)
@@ -114,11 +118,11 @@
             squares += max(0.0, deviation * deviation - chance * chance)
             outside += deviation > self.forecast.margin + CHANCE_DEVIATIONS * chance
         self.error = sqrt(squares / len(self.spans))
-        # 0.5 rounds: one span outside is allowed from ten on.
+        # Adding 0.5 rounds to the nearest number: one span may lie outside if there are at least ten.
         self.inside = outside <= max(0.0, OUTSIDE_BY_CHANCE * len(self.spans) + 0.5)
 
     def _expected(self, span: ObservedSpan) -> float:
-        """The mean forecast over a span."""
+        """Returns the mean of the forecast hit ratio over a span."""
         duration_s = span.end_s - span.start_s
         points = [
             self.forecast.hit_ratio_at(
@@ -131,114 +135,122 @@
 
 @dataclass
 class KindAccuracy:
-    """What is known of forecasts of one kind of change.
+    """The accuracy of forecasts of one kind of change.
 
     Attributes:
-        errors: Of the last ones.
-        distrusted: One was off, and not enough in a row were right since.
-        right_in_a_row: Since then.
-        judged: All that were.
-        missed: Those that were off by more than their margin.
+        errors: Errors of the latest `MAX_ERRORS` evaluated forecasts, the oldest first.
+        distrusted: Whether a forecast was outside its margin and too few in a row were right since.
+        right_in_a_row: Forecasts that were right in a row since then.
+        evaluated: Number of evaluated forecasts.
+        missed: Number of evaluated forecasts that were off by more than their margin.
     """
 
     errors: list[float] = field(default_factory=list)
     distrusted: bool = False
     right_in_a_row: int = 0
-    judged: int = 0
+    evaluated: int = 0
     missed: int = 0
 
     def rms_error(self) -> float:
-        """The root mean square error."""
+        """Returns the root mean square error of the latest forecasts, as a difference of hit ratios."""
         if not self.errors:
             return UNPROVEN_ERROR
         squares = sum(error * error for error in self.errors)
         return sqrt(squares / len(self.errors))
 
     def add(self, tracked: TrackedForecast) -> None:
-        """Counts a judged forecast."""
-        self.judged += 1
+        """Adds an evaluated forecast."""
+        self.evaluated += 1
         self.errors = [*self.errors[-MAX_ERRORS + 1 :], tracked.error]
         if not tracked.inside:
             self.missed += 1
             self.distrusted, self.right_in_a_row = True, 0
         elif self.distrusted:
             self.right_in_a_row += 1
-            self.distrusted = self.right_in_a_row < TRUSTED_AGAIN
+            self.distrusted = self.right_in_a_row < RIGHT_TO_REGAIN_TRUST
 
     def dump(self) -> list[Any]:
-        """As it is stored."""
+        """Returns the values to store, as `load` reads them."""
         return [
             self.errors,
             self.distrusted,
             self.right_in_a_row,
-            self.judged,
+            self.evaluated,
             self.missed,
         ]
 
     @classmethod
-    def load(cls, line: Any) -> KindAccuracy:
-        """From what was stored.
+    def load(cls, stored: Any) -> KindAccuracy:
+        """Creates an instance from the values that `dump` returned.
 
         Raises:
-            TypeError: It has another form.
-            ValueError: It has impossible values.
+            TypeError: A value has a wrong type.
+            ValueError: There are too few or too many values, or one is out of range.
         """
-        errors, distrusted, right_in_a_row, judged, missed = line
+        errors, distrusted, right_in_a_row, evaluated, missed = stored
         loaded = cls(
             [float(error) for error in errors][-MAX_ERRORS:],
             bool(distrusted),
             int(right_in_a_row),
-            int(judged),
+            int(evaluated),
             int(missed),
         )
         if not all(0 <= error <= 1 for error in loaded.errors):
-            raise ValueError("an error of a hit ratio is between 0 and 1")
+            raise ValueError("stored forecast errors must be between 0 and 1")
         return loaded
 
 
 class ForecastAccuracy:
-    """One node's record of its forecasts. Times are of the node's clock (`Node.now`), in microseconds.
+    """One node's record of its forecasts and their accuracy.
+
+    Times are readings of the node's clock (`Node.now`), in microseconds.
 
     Attributes:
-        kinds: By kind of change.
-        tracked: The forecasts being tracked; one at most.
-        recent: The last ones that are not tracked any more.
-        unjudged: Those of which too little was observed.
+        kinds: Accuracy by kind of change.
+        tracked: The forecasts being tracked; at most one.
+        recent: The latest `MAX_RECENT` forecasts whose tracking ended, the oldest first.
+        unevaluated: Number of forecasts with too few observed spans to be evaluated.
     """
 
     def __init__(self) -> None:
         self.kinds: dict[str, KindAccuracy] = {}
         self.tracked: list[TrackedForecast] = []
         self.recent: list[TrackedForecast] = []
-        self.unjudged = 0
+        self.unevaluated = 0
         self._last_number = 0
 
     # ---- before a change ------------------------------------------------------------------------------
 
     def past_error(self, kind: str) -> float:
-        """The root mean square error of forecasts of such changes, for the next margin."""
-        known = self.kinds.get(kind)
-        return UNPROVEN_ERROR if known is None else known.rms_error()
+        """Returns the root mean square error of forecasts of a kind of change, for the next margin."""
+        accuracy = self.kinds.get(kind)
+        return UNPROVEN_ERROR if accuracy is None else accuracy.rms_error()
 
     def is_trusted(self, kind: str) -> bool:
-        """Whether forecasts of such changes are to be gone by."""
-        known = self.kinds.get(kind)
-        return known is None or not known.distrusted
+        """Whether forecasts of a kind of change may be relied on."""
+        accuracy = self.kinds.get(kind)
+        return accuracy is None or not accuracy.distrusted
 
     def published(self, kind: str, forecast: Forecast) -> Forecast:
-        """The forecast as it is given out: an unknown one where it is distrusted."""
+        """Returns the forecast to publish: an unknown one if forecasts of its kind are distrusted."""
         if forecast.unknown_reason or self.is_trusted(kind):
             return forecast
-        missing = TRUSTED_AGAIN - self.kinds[kind].right_in_a_row
+        remaining = RIGHT_TO_REGAIN_TRUST - self.kinds[kind].right_in_a_row
         return unknown_forecast(
             f"forecasts of {kind} changes were off by more than their interval;"
-            f" {missing} more have to be right"
+            f" {remaining} more in a row must be right"
         )
 
     def track(
         self, now: int, kind: str, forecast: Forecast, offset: float = 0.0
     ) -> int:
-        """Tracks the forecast of a change that is being made; what was tracked before ends here.
+        """Starts tracking the forecast of a change that is being made, and stops tracking the previous one.
+
+        Args:
+            now: When the change is made.
+            kind: The kind of change.
+            forecast: The forecast; an unknown one gets a number but is not tracked.
+            offset: As in `TrackedForecast`.
 
         Returns:
             The forecast's number.
@@ -254,23 +266,23 @@
             )
         return self._last_number
 
-    # ---- after it -------------------------------------------------------------------------------------
+    # ---- after a change -------------------------------------------------------------------------------
 
     def observe(
         self, since: int, until: int, hits: int, answers: int
     ) -> list[TrackedForecast]:
-        """Takes what answers reported over some time.
+        """Adds what answers reported over a span of time.
 
         Args:
-            since: Begin of that time.
-            until: Its end.
+            since: Start of the span.
+            until: End of the span.
             hits: Answers that came from a cache.
-            answers: Answers that reported.
+            answers: Answers that reported whether they came from a cache.
 
         Returns:
-            The forecasts that are judged by now.
+            The forecasts whose tracking is complete.
         """
-        done = []
+        completed = []
         for tracked in list(self.tracked):
             start_s = (since - tracked.made_at) / US_PER_S
             end_s = (until - tracked.made_at) / US_PER_S
@@ -281,28 +293,28 @@
             if end_s >= min(MAX_TRACKED_S, tracked.forecast.times_s[-1]):
                 self.tracked.remove(tracked)
                 self._end(tracked, TrackingEnd.COMPLETE)
-                done.append(tracked)
-        return done
+                completed.append(tracked)
+        return completed
 
     def _end(self, tracked: TrackedForecast, reason: TrackingEnd) -> None:
-        """Judges a forecast by what was observed of it."""
+        """Ends the tracking of a forecast and evaluates it if enough spans were observed."""
         tracked.end = reason
         self.recent = [*self.recent[-MAX_RECENT + 1 :], tracked]
         if len(tracked.spans) < MIN_SPANS:
-            self.unjudged += 1
+            self.unevaluated += 1
             return
-        tracked.judge()
+        tracked.evaluate()
         self.kinds.setdefault(tracked.kind, KindAccuracy()).add(tracked)
 
-    # ---- for operators, and over restarts -------------------------------------------------------------
+    # ---- for operators, and across restarts -----------------------------------------------------------
 
     def figures(self) -> dict[str, Any]:
-        """The accuracy by kind, by the published keys."""
+        """Returns the accuracy by kind of change, by the published keys."""
         return {
-            "unjudged": self.unjudged,
+            "unjudged": self.unevaluated,
             "kinds": {
                 str(name): {
-                    "judged": kind.judged,
+                    "judged": kind.evaluated,
                     "missed": kind.missed,
                     "error": round(kind.rms_error(), 4),
                     "believed": not kind.distrusted,
@@ -312,13 +324,13 @@
         }
 
     def dump(self) -> dict[str, Any]:
-        """What is stored over a restart."""
+        """Returns what is stored across a restart, by kind of change."""
         return {str(name): kind.dump() for name, kind in sorted(self.kinds.items())}
 
     def restore(self, table: Any) -> None:
-        """Takes on what `dump` gave; what has another form is left out."""
-        for name, line in table.items() if isinstance(table, dict) else ():
+        """Restores what `dump` returned; malformed entries are ignored."""
+        for name, stored in table.items() if isinstance(table, dict) else ():
             try:
-                self.kinds[str(name)] = KindAccuracy.load(line)
+                self.kinds[str(name)] = KindAccuracy.load(stored)
             except (TypeError, ValueError):
                 continue
--- a/loadbalancer/forecast/forecast_result.py
+++ b/loadbalancer/forecast/forecast_result.py
@@ -1,4 +1,4 @@
-"""A forecast: hit ratios over the time after a change, of the fleet and of each server."""
+"""The result of a forecast: hit ratios over the time after a change, of the fleet and of each server."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 from dataclasses import dataclass, field
 from math import exp, inf, log
 
-HORIZON_S = 1_800.0  # what takes longer is not waited for
-RECOVERED_FRACTION = (
-    0.2  # of the largest gap to the steady hit ratio: so much may be left
-)
-# Of a hit ratio, where all that goes in is right: Che's approximation and the grouping of keys.
+HORIZON_S = 1_800.0  # longest recovery time, in seconds, that a forecast covers
+# Fraction of the largest gap to the steady hit ratio that may remain when caches count as recovered.
+RECOVERED_FRACTION = 0.2
+# Error of a hit ratio where all input is right. Che's approximation and the grouping of keys cause it.
 MODEL_ERROR = 0.004
 # Offset added to the time before the logarithm, as a fraction of the first time after 0.
 LOG_OFFSET_FRACTION = 1 / 4
 MIN_LOG_OFFSET_S = 1e-6
-TINY = 1e-9
+TINY = 1e-9  # lower bound of a divisor
 
 
 @dataclass(frozen=True)
 class ServerForecast:
-    """One server's forecast.
+    """The forecast for one server.
 
     Attributes:
-        fraction_before: The part of all requests that it gets before the change.
-        fraction_after: The same after it.
-        hit_ratios: By the forecast's times.
-        hit_ratio_now: Before the change.
-        steady_hit_ratio: Long after it.
-        peak_misses: Misses a second at the worst time.
-        peak_load: Those divided by what it tolerates; 0 where that is not known.
+        fraction_before: Fraction of all requests that the server receives before the change.
+        fraction_after: Fraction of all requests that the server receives after the change.
+        hit_ratios: Hit ratios after the change, one for each of the forecast's times.
+        hit_ratio_now: Hit ratio before the change.
+        steady_hit_ratio: Hit ratio long after the change.
+        peak_misses: Misses a second at the time of the lowest hit ratio.
+        peak_load: Those divided by the misses a second that the server tolerates; 0 if that limit is not
+            known.
     """
 
     fraction_before: float
@@ -41,30 +41,36 @@
     peak_load: float
 
     def hit_ratio_at(self, times_s: Sequence[float], elapsed_s: float) -> float:
-        """The hit ratio so many seconds after the change."""
+        """Returns the hit ratio at a time after the change.
+
+        Args:
+            times_s: The forecast's times.
+            elapsed_s: Seconds after the change.
+        """
         return interpolate(times_s, self.hit_ratios, elapsed_s, self.steady_hit_ratio)
 
 
 @dataclass(frozen=True)
 class Forecast:
-    """What is expected. Hit ratios and misses are of the fleet.
+    """The forecast for the fleet. Hit ratios and misses are those of the entire fleet.
 
     Attributes:
-        times_s: Seconds after the change; the first is the moment after it. Empty if unknown.
-        hit_ratios: By those times.
-        hit_ratio_now: Before the change.
-        steady_hit_ratio: Long after it.
+        times_s: Times of the forecast, in seconds after the change; the first is the moment after it. Empty
+            if the forecast is unknown.
+        hit_ratios: Hit ratios after the change, one for each of those times.
+        hit_ratio_now: Hit ratio before the change.
+        steady_hit_ratio: Hit ratio long after the change.
         margin: Half the width of the interval about each hit ratio.
-        recovery_s: Seconds until nearly all of the loss is made good.
-        peak_load: The most misses a second on a server, divided by what it tolerates; 0 where that is not
-            known.
-        peak_load_high: The same at the far end of the interval.
+        recovery_s: Seconds until the hit ratio has recovered nearly all of its loss.
+        peak_load: Largest ratio, over all servers, of a server's misses a second to those that it tolerates;
+            0 if these limits are not known.
+        peak_load_high: The same with hit ratios at the lower end of the interval.
         misses_now: Misses a second before the change.
-        peak_misses: Misses a second at the worst time.
+        peak_misses: Misses a second at the time of the lowest hit ratio.
         load_now: As `peak_load`, before the change.
-        tolerance_known: It is known what the servers tolerate that are used after the change.
-        servers: By server.
-        unknown_reason: Why nothing can be said; empty if something can.
+        tolerance_known: Whether the tolerable misses of all servers used after the change are known.
+        servers: The forecasts for the servers.
+        unknown_reason: Why no forecast is possible; empty if one is.
     """
 
     times_s: tuple[float, ...]
@@ -84,18 +90,22 @@
 
     @property
     def lowest_hit_ratio(self) -> float:
-        """The hit ratio at its worst."""
+        """The lowest hit ratio after the change; 0 if the forecast is unknown."""
         return min((*self.hit_ratios, self.steady_hit_ratio), default=0.0)
 
     def hit_ratio_at(self, elapsed_s: float) -> float:
-        """The hit ratio so many seconds after the change."""
+        """Returns the hit ratio at a time after the change, in seconds."""
         return interpolate(
             self.times_s, self.hit_ratios, elapsed_s, self.steady_hit_ratio
         )
 
 
 def unknown_forecast(reason: str) -> Forecast:
-    """A forecast that says nothing; the rules of `migration` treat it as the worst."""
+    """Returns a forecast without a prediction; the rules of `migration` treat it as the worst case.
+
+    Args:
+        reason: Why no forecast is possible, for operators.
+    """
     return Forecast(
         times_s=(),
         hit_ratios=(),
@@ -114,24 +124,36 @@
 def interpolate(
     times_s: Sequence[float], values: Sequence[float], elapsed_s: float, last: float
 ) -> float:
-    """Straight lines between the points over the logarithm of time; the last value after them.
+    """Interpolates linearly over the logarithm of time.
 
     A cold cache fills fast at first, and a straight line over time would lie far below its hit ratio.
+
+    Args:
+        times_s: Times of the points, in seconds after the change, ascending.
+        values: Values at those times.
+        elapsed_s: Time to evaluate, in seconds after the change.
+        last: The value after the last point.
     """
     for index, time_s in enumerate(times_s):
         if elapsed_s <= time_s:
             if index == 0:
                 return values[0]
             before_s = times_s[index - 1]
-            part = log_distance(times_s, before_s, elapsed_s) / max(
+            progress = log_distance(times_s, before_s, elapsed_s) / max(
                 log_distance(times_s, before_s, time_s), TINY
             )
-            return values[index - 1] + part * (values[index] - values[index - 1])
+            return values[index - 1] + progress * (values[index] - values[index - 1])
     return last
 
 
 def log_distance(times_s: Sequence[float], first_s: float, until_s: float) -> float:
-    """How far the logarithms of two times are apart, with the offset added to both."""
+    """Returns the difference of the logarithms of two times, with an offset added to both.
+
+    Args:
+        times_s: The forecast's times, which determine the offset.
+        first_s: The earlier time, in seconds after the change.
+        until_s: The later time, in seconds after the change.
+    """
     offset_s = _log_offset_s(times_s)
     return log((until_s + offset_s) / (first_s + offset_s))
 
@@ -143,22 +165,27 @@
 def recovery_time(
     times_s: Sequence[float], hit_ratios: Sequence[float], steady: float
 ) -> float:
-    """Seconds until all but a small part of the largest gap to the steady hit ratio is made good.
+    """Returns the time until the gap to the steady hit ratio has nearly closed.
+
+    Args:
+        times_s: Times of the hit ratios, in seconds after the change.
+        hit_ratios: Hit ratios at those times.
+        steady: Hit ratio long after the change.
 
     Returns:
-        The seconds; `HORIZON_S` where the last point has not recovered.
+        Seconds after the change; `HORIZON_S` if the hit ratio has not recovered at the last point.
     """
     gaps = [max(0.0, steady - hit_ratio) for hit_ratio in hit_ratios]
-    largest = max(gaps, default=0.0)
-    if largest <= MODEL_ERROR:
+    largest_gap = max(gaps, default=0.0)
+    if largest_gap <= MODEL_ERROR:
         return 0.0
-    tolerated = RECOVERED_FRACTION * largest
+    tolerated_gap = RECOVERED_FRACTION * largest_gap
     for index in range(len(gaps) - 1, -1, -1):
-        if gaps[index] > tolerated:
+        if gaps[index] > tolerated_gap:
             if index == len(gaps) - 1:
                 return HORIZON_S
-            part = (gaps[index] - tolerated) / (gaps[index] - gaps[index + 1])
+            progress = (gaps[index] - tolerated_gap) / (gaps[index] - gaps[index + 1])
             offset_s = _log_offset_s(times_s)
             distance = log_distance(times_s, times_s[index], times_s[index + 1])
-            return (times_s[index] + offset_s) * exp(part * distance) - offset_s
+            return (times_s[index] + offset_s) * exp(progress * distance) - offset_s
     return 0.0
--- a/loadbalancer/forecast/forecaster.py
+++ b/loadbalancer/forecast/forecaster.py
@@ -1,7 +1,8 @@
-"""Forecasts the cache hit ratio after a change of placement, before it is made.
+"""Forecasts the cache hit ratio after a change of placement, before the change is made.
 
-The moment after a change, the minutes that follow, a server that begins cold and a change upon a change are
-one formula (`server_keys`), in which only the rates differ; nothing is guessed.
+One formula (`server_keys`) covers the moment after a change, the minutes that follow, a server that starts
+cold, and a change made shortly after another one. Only the request rates differ between these cases, so
+none of them needs a separate heuristic.
 """
 
 from __future__ import annotations
@@ -23,22 +24,33 @@
 from loadbalancer.forecast.sliced_work import SlicedWork
 from loadbalancer.forecast.typical_server import sampling_error
 
-# When hit ratios are worked out, in characteristic times after the change.
+# Times after the change at which hit ratios are computed, in characteristic times of the caches.
 TIME_STEPS = (0.0, 1 / 256, 1 / 64, 1 / 16, 1 / 6, 1 / 3, 2 / 3, 1.2, 2.5)
+# Lower bound of the characteristic time by which TIME_STEPS are scaled.
 MIN_TIME_SCALE_S = 1e-3
-MARGIN_DEVIATIONS = 2.0  # standard deviations in the margin
-DRIFT_ERROR = 0.25  # of the hits of what has drifted away while the caches fill
-# How far the hit ratio of silent nodes, or of those with other keys, is taken to be off.
+# Half the width of the interval, in standard deviations.
+MARGIN_DEVIATIONS = 2.0
+# Error caused by drift, as a fraction of the hits on keys whose popularity drifts while the caches fill.
+DRIFT_ERROR = 0.25
+# Assumed error of the hit ratio for the requests of silent nodes, and of nodes that receive other keys.
 OTHER_NODES_ERROR = 0.2
-MAX_CORRECTION = (
-    0.25  # a forecast is corrected by reported hits by this part of it at most
-)
-MAX_SILENT_FRACTION = 0.5  # of the requests; more, and nothing is known
+# Reported hits scale a forecast by between 1 - MAX_CORRECTION and 1 + MAX_CORRECTION.
+MAX_CORRECTION = 0.25
+# Fraction of the requests that silent nodes may send; above it the forecast is unknown.
+MAX_SILENT_FRACTION = 0.5
 
 
 def forecast(change: PlacementChange, shard_count: int) -> SlicedWork[Forecast]:
-    """Works out what a change does to the hit ratio."""
-    reason = _unknown_reason(change)
+    """Forecasts the fleet's hit ratio over the time after a change of placement.
+
+    Args:
+        change: The placement before and after the change, and what is known of servers, keys and nodes.
+        shard_count: Number of shards that both placements use.
+
+    Returns:
+        The forecast; an unknown one, with its reason, if the data is not sufficient.
+    """
+    reason = _reason_for_unknown(change)
     if reason:
         return unknown_forecast(reason)
     per_shard = replace(change, popularity=change.popularity.per_shard(shard_count))
@@ -52,21 +64,21 @@
         yield from server.evaluate_after(times_s)
     yield
     error = yield from sampling_error(per_shard, shard_count)
-    return _Summary(per_shard, times_s, servers, error).forecast()
+    return _FleetSummary(per_shard, times_s, servers, error).forecast()
 
 
-def _unknown_reason(change: PlacementChange) -> str:
-    """Why nothing can be said; empty if something can."""
+def _reason_for_unknown(change: PlacementChange) -> str:
+    """Returns why no forecast is possible; empty if one is possible."""
     if change.silent_fraction > MAX_SILENT_FRACTION:
         return (
-            f"{change.silent_fraction:.0%} of the requests are of nodes that are"
-            " not heard"
+            f"{change.silent_fraction:.0%} of the requests are sent by nodes that"
+            " have not reported"
         )
     if not change.popularity.is_known:
         return "too few requests with keys have been counted"
     if all(server.cache.objects <= 0 for server in change.servers):
         return (
-            "the size of the servers' caches is not known, and no answer tells of hits"
+            "the size of the servers' caches is not known, and no answer reports hits"
         )
     return ""
 
@@ -74,7 +86,7 @@
 def _evaluate_before(
     change: PlacementChange, shard_count: int
 ) -> SlicedWork[list[ServerModel]]:
-    """The servers with their keys and their hit ratio before the change."""
+    """Returns the models of all servers, with their keys and their hit ratio before the change."""
     scale = change.rate / change.popularity.rate
     shard_rates = _ShardRates(change, shard_count)
     servers = []
@@ -93,11 +105,13 @@
 
 
 class _ShardRates:
-    """Requests by shard.
+    """Request rates of the shards, in requests a second.
 
     Attributes:
-        top: Requests a second for the most requested keys, by shard.
-        tail: Requests a second for the other keys, of each shard.
+        shard_count: Number of shards.
+        top: Rate of the most requested keys, by shard.
+        tail: Rate of all other keys of one shard, the same for every shard.
+        mean: Mean rate of a shard.
     """
 
     def __init__(self, change: PlacementChange, shard_count: int) -> None:
@@ -109,22 +123,32 @@
         self.mean = self.tail + sum(self.top) / shard_count
 
     def fraction(self, traffic: ShardTraffic, server: int) -> float:
-        """The part of all requests that a server gets."""
+        """Returns the fraction of all requests that a server receives.
+
+        Args:
+            traffic: The placement's traffic.
+            server: Index of the server.
+        """
         rate = sum(
-            part * (self.tail + self.top[shard])
-            for shard, part in traffic.fractions[server].items()
+            shard_fraction * (self.tail + self.top[shard])
+            for shard, shard_fraction in traffic.fractions[server].items()
         )
         return rate / (self.mean * self.shard_count)
 
 
-class _Summary:
-    """Makes the servers' hit ratios a forecast of the fleet.
+class _FleetSummary:
+    """Combines the servers' hit ratios into a forecast for the fleet.
 
     Args:
-        change: What the forecast goes by.
-        times_s: Seconds after the change.
-        servers: Completely evaluated.
-        sampling_error: Standard error of a hit ratio by the sample's size.
+        change: The change that is forecast.
+        times_s: Times of the forecast, in seconds after the change.
+        servers: The servers' models, evaluated before and after the change.
+        sampling_error: Standard error of a hit ratio that the size of the key sample causes.
+
+    Attributes:
+        hit_ratio_now: The fleet's hit ratio before the change, corrected by the reported one.
+        correction_error: Absolute difference between the computed and the reported hit ratio.
+        margin: Half the width of the interval about each hit ratio.
     """
 
     def __init__(
@@ -138,11 +162,12 @@
         self.times_s = times_s
         self.servers = servers
         self.sampling_error = sampling_error
-        self.now = self._now()
-        self.offset = self._correct()
-        self.margin = self._margin()
+        self.hit_ratio_now = self._fleet_hit_ratio_now()
+        self.correction_error = self._correct_by_reported()
+        self.margin = self._interval_margin()
 
     def forecast(self) -> Forecast:
+        """Returns the forecast for the fleet and for each server."""
         servers = self.servers
         hit_ratios = tuple(
             sum(server.fraction_after * server.hit_ratios[index] for server in servers)
@@ -157,13 +182,13 @@
         return Forecast(
             times_s=self.times_s,
             hit_ratios=hit_ratios,
-            hit_ratio_now=self.now,
+            hit_ratio_now=self.hit_ratio_now,
             steady_hit_ratio=steady,
             margin=self.margin,
             recovery_s=recovery_time(self.times_s, hit_ratios, steady),
             peak_load=max((0.0, *(server.peak_load for server in by_server))),
-            peak_load_high=max((0.0, *map(self._load_high, servers))),
-            misses_now=rate * (1 - self.now),
+            peak_load_high=max((0.0, *map(self._highest_load, servers))),
+            misses_now=rate * (1 - self.hit_ratio_now),
             peak_misses=rate * (1 - lowest),
             load_now=max((0.0, *map(self._load_now, servers))),
             tolerance_known=all(
@@ -174,25 +199,30 @@
             servers=by_server,
         )
 
-    def _now(self) -> float:
+    def _fleet_hit_ratio_now(self) -> float:
         return sum(
             server.fraction_before * server.hit_ratio_now for server in self.servers
         )
 
-    def _correct(self) -> float:
-        """Corrects the hit ratios by the one that answers report; returns how far that is off."""
+    def _correct_by_reported(self) -> float:
+        """Scales all hit ratios towards the reported one; returns the difference before the correction."""
         reported = self.change.reported_hit_ratio
-        if reported is None or not self.now > 0:
+        if reported is None or not self.hit_ratio_now > 0:
             return 0.0
-        offset = abs(reported - self.now)
-        factor = min(1 + MAX_CORRECTION, max(1 - MAX_CORRECTION, reported / self.now))
+        correction_error = abs(reported - self.hit_ratio_now)
+        factor = min(
+            1 + MAX_CORRECTION, max(1 - MAX_CORRECTION, reported / self.hit_ratio_now)
+        )
         for server in self.servers:
             server.correct(factor)
-        self.now = self._now()
-        return offset
+        self.hit_ratio_now = self._fleet_hit_ratio_now()
+        return correction_error
 
-    def _margin(self) -> float:
-        """Half the interval: the independent errors in quadrature, and what reported hits differ by."""
+    def _interval_margin(self) -> float:
+        """Returns half the width of the interval.
+
+        Independent errors are added in quadrature; the difference to the reported hit ratio is added to them.
+        """
         change = self.change
         drifted = min(1.0, change.drift_per_s * self.times_s[-1])
         return (
@@ -201,11 +231,11 @@
                 self.sampling_error**2
                 + MODEL_ERROR**2
                 + change.past_error**2
-                + (drifted * self.now * DRIFT_ERROR) ** 2
+                + (drifted * self.hit_ratio_now * DRIFT_ERROR) ** 2
                 + (change.silent_fraction * OTHER_NODES_ERROR) ** 2
                 + (change.divergent_fraction * OTHER_NODES_ERROR) ** 2
             )
-            + self.offset
+            + self.correction_error
         )
 
     def _server_forecast(self, server: ServerModel) -> ServerForecast:
@@ -219,19 +249,21 @@
             hit_ratio_now=server.hit_ratio_now,
             steady_hit_ratio=server.steady_hit_ratio,
             peak_misses=misses,
-            peak_load=_load(misses, server),
+            peak_load=_load_ratio(misses, server),
         )
 
     def _load_now(self, server: ServerModel) -> float:
         misses = self.change.rate * server.fraction_before * (1 - server.hit_ratio_now)
-        return _load(misses, server)
+        return _load_ratio(misses, server)
 
-    def _load_high(self, server: ServerModel) -> float:
+    def _highest_load(self, server: ServerModel) -> float:
         lowest = max(0.0, server.lowest_hit_ratio() - self.margin)
-        return _load(self.change.rate * server.fraction_after * (1 - lowest), server)
+        return _load_ratio(
+            self.change.rate * server.fraction_after * (1 - lowest), server
+        )
 
 
-def _load(misses: float, server: ServerModel) -> float:
-    """Misses a second divided by what a server tolerates; 0 where that is not known."""
+def _load_ratio(misses: float, server: ServerModel) -> float:
+    """Returns misses a second divided by those that the server tolerates; 0 if that limit is not known."""
     tolerable = server.state.tolerable_misses
     return misses / tolerable if tolerable > 0 else 0.0
--- a/loadbalancer/forecast/key_records.py
+++ b/loadbalancer/forecast/key_records.py
@@ -1,8 +1,8 @@
-"""Key digests as records, which the nodes of a fleet send each other.
+"""Encodes key digests as records that the nodes of a fleet exchange.
 
-A node's report is one record of its most requested keys and some of its sample. Every record begins with a
-head of the same form; positions follow in rising order as differences, each with its count, as integers of
-variable length.
+A node's report consists of one record with its most requested keys and some records with its sample. Every
+record starts with a header of the same layout. Key positions follow in ascending order, each encoded as the
+difference to the previous one and followed by its count, both as integers of variable length.
 """
 
 from __future__ import annotations
@@ -16,55 +16,69 @@
 from loadbalancer.forecast.key_digest import KeyDigest
 from loadbalancer.forecast.rendezvous import POSITION_COUNT
 
-MAX_REPORTED_TOP_KEYS = 150
+MAX_REPORTED_TOP_KEYS = 150  # in the record of the most requested keys
 MAX_UINT32 = 0xFFFFFFFF
 MAX_UINT16 = 0xFFFF
-VARINT_PAYLOAD_BITS = 7
+VARINT_PAYLOAD_BITS = 7  # bits of the number in each byte
 VARINT_PAYLOAD_MASK = 127
-VARINT_CONTINUES = 128
-VARINT_MAX_SHIFT = 63
+VARINT_CONTINUES = 128  # flag of a byte that another one follows
+VARINT_MAX_SHIFT = 63  # bits; a longer number is malformed
 US_PER_MS = 1000
 
-# Form, span in ms, requests, threshold - 1, floor, hits, reported answers, subset size.
-HEAD = Struct("<BIIIIIIH")
+# The fields of `_Header`: form, span in milliseconds, requests, threshold - 1, floor of the most requested
+# keys, hits, reported answers, subset size.
+HEADER = Struct("<BIIIIIIH")
 
 
 class RecordForm(IntEnum):
-    """What a record holds."""
+    """What a record contains; the value is its first byte."""
 
     TOP = 1  # the most requested keys
-    SAMPLE = 2  # a part of the sampled keys
+    SAMPLE = 2  # some of the sampled keys
 
 
 class KeyRecordError(ValueError):
-    """Bytes are no record of keys, or records that do not belong together."""
+    """Bytes are not a valid key record, or the records do not belong to the same report."""
 
 
 @dataclass(frozen=True)
 class NodeKeyReport:
-    """What one node's records say.
+    """The decoded records of one node.
 
     Attributes:
-        digest: Its counts.
-        subset_size: Servers that it wants in its subset.
+        digest: The node's counts of requests by key.
+        subset_size: Number of servers that the node wants in its subset.
     """
 
     digest: KeyDigest
     subset_size: int
 
 
-class _Head(NamedTuple):
+class _Header(NamedTuple):
+    """The header of a record, with its fields in the order of `HEADER`.
+
+    Attributes:
+        form: A value of `RecordForm`.
+        span_ms: Duration over which requests were counted.
+        requests: Number of requests for all keys.
+        last_sampled: Highest sampled position, the threshold minus 1.
+        top_floor: Upper bound of the count of keys that are not among the most requested.
+        hits: Recent answers that came from a cache.
+        reported_answers: Recent answers that reported whether they came from a cache.
+        subset_size: Number of servers that the node wants in its subset.
+    """
+
     form: int
     span_ms: int
     requests: int
-    last_sampled: int  # threshold - 1
+    last_sampled: int
     top_floor: int
     hits: int
     reported_answers: int
     subset_size: int
 
     def encode(self) -> bytes:
-        return HEAD.pack(*self)
+        return HEADER.pack(*self)
 
 
 def encode_report(
@@ -72,50 +86,61 @@
 ) -> list[bytes]:
     """Encodes a digest as records: the most requested keys first, then the sample.
 
-    What does not fit is left out: the sample's keys with the larger positions, so that the threshold falls to
-    the first of them; and of the most requested keys all but `MAX_REPORTED_TOP_KEYS`, so that the floor rises
-    to the first of them.
+    Keys that do not fit are left out. Of the sample these are the keys with the highest positions, and the
+    threshold falls to the first position left out. At most `MAX_REPORTED_TOP_KEYS` of the most requested keys
+    are encoded, and the floor rises to the highest count left out.
 
     Args:
-        digest: What the node counted.
-        subset_size: Servers that it wants in its subset.
-        sample_records: How many records of the sample.
-        max_bytes: Of one record.
+        digest: The node's counts.
+        subset_size: Number of servers that the node wants in its subset.
+        sample_records: Number of records for the sample.
+        max_bytes: Maximum size of one record.
     """
-    room = max_bytes - HEAD.size
+    max_body_bytes = max_bytes - HEADER.size
     top = digest.truncated(0, MAX_REPORTED_TOP_KEYS)
     while True:
-        top_body, encoded = _encode_counts(sorted(top.top.items()), room)
-        if encoded == len(top.top):
+        top_body, encoded_count = _encode_counts(
+            sorted(top.top.items()), max_body_bytes
+        )
+        if encoded_count == len(top.top):
             break
-        top = top.truncated(0, encoded)
-    threshold, sample_bodies = _encode_sample(digest, sample_records, room)
-    top_head = _head(RecordForm.TOP, digest, digest.threshold, top, subset_size)
-    sample_head = _head(RecordForm.SAMPLE, digest, threshold, top, subset_size)
-    return [top_head + top_body, *(sample_head + body for body in sample_bodies)]
+        top = top.truncated(0, encoded_count)
+    threshold, sample_bodies = _encode_sample(digest, sample_records, max_body_bytes)
+    top_header = _encode_header(
+        RecordForm.TOP, digest, digest.threshold, top, subset_size
+    )
+    sample_header = _encode_header(
+        RecordForm.SAMPLE, digest, threshold, top, subset_size
+    )
+    return [top_header + top_body, *(sample_header + body for body in sample_bodies)]
 
 
 def _encode_sample(
-    digest: KeyDigest, records: int, room: int
+    digest: KeyDigest, records: int, max_body_bytes: int
 ) -> tuple[int, list[bytes]]:
-    """The threshold of what fits, and the bodies."""
-    lines = sorted(
+    """Returns the threshold below which all sampled keys were encoded, and the bodies of the records."""
+    pairs = sorted(
         (position, count)
         for position, count in digest.counts.items()
         if position < digest.threshold
     )
     bodies = []
     for _ in range(records):
-        body, encoded = _encode_counts(lines, room)
+        body, encoded_count = _encode_counts(pairs, max_body_bytes)
         bodies.append(body)
-        lines = lines[encoded:]
-    return (lines[0][0] if lines else digest.threshold), bodies
+        pairs = pairs[encoded_count:]
+    return (pairs[0][0] if pairs else digest.threshold), bodies
 
 
-def _head(
-    form: RecordForm, digest: KeyDigest, threshold: int, top: KeyDigest, size: int
+def _encode_header(
+    form: RecordForm,
+    digest: KeyDigest,
+    threshold: int,
+    top: KeyDigest,
+    subset_size: int,
 ) -> bytes:
-    return _Head(
+    """Encodes the header of a record; values that exceed their field are limited to its maximum."""
+    return _Header(
         form,
         min(digest.span_us // US_PER_MS, MAX_UINT32),
         min(digest.requests, MAX_UINT32),
@@ -123,26 +148,30 @@
         min(top.top_floor, MAX_UINT32),
         min(digest.hits, MAX_UINT32),
         min(digest.reported_answers, MAX_UINT32),
-        min(size, MAX_UINT16),
+        min(subset_size, MAX_UINT16),
     ).encode()
 
 
 def _encode_counts(
-    lines: Iterable[tuple[int, int]], max_bytes: int
+    pairs: Iterable[tuple[int, int]], max_bytes: int
 ) -> tuple[bytes, int]:
-    """Positions in rising order with their counts: as many as fit, and how many those are."""
+    """Encodes pairs of position and count, in ascending order of positions, up to a size limit.
+
+    Returns:
+        The encoded bytes, and the number of pairs in them.
+    """
     encoded = bytearray()
-    previous = lines_encoded = 0
-    for position, count in lines:
-        line = bytearray()
-        _append_varint(position - previous, line)
-        _append_varint(count, line)
-        if len(encoded) + len(line) > max_bytes:
+    previous = encoded_count = 0
+    for position, count in pairs:
+        pair = bytearray()
+        _append_varint(position - previous, pair)
+        _append_varint(count, pair)
+        if len(encoded) + len(pair) > max_bytes:
             break
-        encoded += line
+        encoded += pair
         previous = position
-        lines_encoded += 1
-    return bytes(encoded), lines_encoded
+        encoded_count += 1
+    return bytes(encoded), encoded_count
 
 
 def _append_varint(number: int, encoded: bytearray) -> None:
@@ -153,20 +182,33 @@
 
 
 class _VarintReader:
-    """Reads variable-length integers."""
+    """Reads integers of variable length from the body of a record.
+
+    Attributes:
+        body: The complete record.
+        offset: Index of the next byte to read.
+    """
 
     def __init__(self, body: bytes, offset: int) -> None:
         self.body = body
         self.offset = offset
 
     def has_more(self) -> bool:
+        """Whether there are bytes left to read."""
         return self.offset < len(self.body)
 
     def read(self) -> int:
+        """Reads one integer.
+
+        Raises:
+            KeyRecordError: The record ends within the integer, or the integer is too long.
+        """
         number = shift = 0
         while True:
             if not self.has_more() or shift > VARINT_MAX_SHIFT:
-                raise KeyRecordError("a record of keys ends too soon")
+                raise KeyRecordError(
+                    "key record ends within an integer or contains one that is too long"
+                )
             byte = self.body[self.offset]
             self.offset += 1
             number |= (byte & VARINT_PAYLOAD_MASK) << shift
@@ -176,28 +218,32 @@
 
 
 def decode_report(bodies: Sequence[bytes]) -> NodeKeyReport:
-    """Decodes a node's records, the most requested keys first.
+    """Decodes the records of one node's report.
+
+    Args:
+        bodies: The record of the most requested keys, followed by those of the sample.
 
     Raises:
-        KeyRecordError: Some are no such records, or of different times: others are still on their way.
+        KeyRecordError: A record is malformed, or the records are of reports of different times, as happens
+            while newer records of the same node are still on their way.
     """
     digest, subset_size = KeyDigest(), 0
     counts: dict[int, int] = {}
     top: dict[int, int] = {}
     for index, body in enumerate(bodies):
-        head = _decode_head(body, RecordForm.SAMPLE if index else RecordForm.TOP)
-        _check_same_time(index, head, digest)
-        _decode_counts(body, head, counts if index else top)
-        subset_size = head.subset_size
+        header = _decode_header(body, RecordForm.SAMPLE if index else RecordForm.TOP)
+        _check_same_report(index, header, digest)
+        _decode_counts(body, header, counts if index else top)
+        subset_size = header.subset_size
         digest = KeyDigest(
-            span_us=max(1, head.span_ms * US_PER_MS),
-            requests=head.requests,
-            threshold=head.last_sampled + 1,
+            span_us=max(1, header.span_ms * US_PER_MS),
+            requests=header.requests,
+            threshold=header.last_sampled + 1,
             counts=counts,
             top=top,
-            top_floor=head.top_floor,
-            hits=head.hits,
-            reported_answers=head.reported_answers,
+            top_floor=header.top_floor,
+            hits=header.hits,
+            reported_answers=header.reported_answers,
         )
     has_sample = len(bodies) > 1
     if not has_sample:
@@ -205,29 +251,53 @@
     return NodeKeyReport(digest, subset_size)
 
 
-def _decode_head(body: bytes, form: RecordForm) -> _Head:
-    if len(body) < HEAD.size:
-        raise KeyRecordError("a record of keys is too short")
-    head = _Head._make(HEAD.unpack_from(body))
-    if head.form != form or head.hits > head.reported_answers:
-        raise KeyRecordError("a record of keys has another form")
-    return head
+def _decode_header(body: bytes, form: RecordForm) -> _Header:
+    """Decodes the header of a record that must have the given form.
 
+    Raises:
+        KeyRecordError: The record is too short or its header is invalid.
+    """
+    if len(body) < HEADER.size:
+        raise KeyRecordError("key record is shorter than its header")
+    header = _Header._make(HEADER.unpack_from(body))
+    if header.form != form or header.hits > header.reported_answers:
+        raise KeyRecordError(
+            "key record has another form than expected, or more hits than answers"
+        )
+    return header
 
-def _check_same_time(index: int, head: _Head, before: KeyDigest) -> None:
-    """Records of one report have the same requests, and those of the sample the same threshold."""
-    other_requests = index > 0 and head.requests != before.requests
-    other_threshold = index > 1 and head.last_sampled + 1 != before.threshold
-    if other_requests or other_threshold:
-        raise KeyRecordError("records of keys are of different times")
 
+def _check_same_report(index: int, header: _Header, before: KeyDigest) -> None:
+    """Checks that a record belongs to the same report as the one before it.
 
-def _decode_counts(body: bytes, head: _Head, into: dict[int, int]) -> None:
-    reader = _VarintReader(body, HEAD.size)
+    All records of a report have the same number of requests, and those of the sample the same threshold.
+
+    Raises:
+        KeyRecordError: The record belongs to another report.
+    """
+    requests_differ = index > 0 and header.requests != before.requests
+    threshold_differs = index > 1 and header.last_sampled + 1 != before.threshold
+    if requests_differ or threshold_differs:
+        raise KeyRecordError(
+            "key records are of reports of different times: their numbers of requests"
+            " or their thresholds differ"
+        )
+
+
+def _decode_counts(body: bytes, header: _Header, counts: dict[int, int]) -> None:
+    """Decodes the counts of a record and adds them to a dictionary by position.
+
+    Raises:
+        KeyRecordError: A position or a count is out of range.
+    """
+    reader = _VarintReader(body, HEADER.size)
     position = 0
     while reader.has_more():
         position += reader.read()
         count = reader.read()
-        if position >= POSITION_COUNT or count > head.requests + head.top_floor:
-            raise KeyRecordError("a record of keys tells of impossible ones")
-        into[position] = count
+        if position >= POSITION_COUNT or count > header.requests + header.top_floor:
+            raise KeyRecordError(
+                "key record has a position that is out of range, or a count larger than"
+                " its number of requests plus the floor"
+            )
+        counts[position] = count
--- a/loadbalancer/forecast/placement_change.py
+++ b/loadbalancer/forecast/placement_change.py
@@ -1,4 +1,4 @@
-"""What a forecast goes by: a change of placement, and what is known of servers, keys and nodes."""
+"""The input of a forecast: a change of placement, and what is known of servers, keys and nodes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from loadbalancer.forecast.popularity import Popularity
 from loadbalancer.forecast.shard_traffic import ShardTraffic
 
-NEVER_CHANGED = inf
+NEVER_CHANGED = inf  # seconds since the previous change, if there was none
 
 
 @dataclass(frozen=True)
@@ -18,9 +18,9 @@
     """What is known of one server.
 
     Attributes:
-        cache: Its cache.
-        age_s: Seconds since the cache was empty.
-        tolerable_misses: Misses a second that it tolerates; 0: not known.
+        cache: The server's cache.
+        age_s: Seconds since the cache was empty; infinite if it is not known.
+        tolerable_misses: Misses a second that the server tolerates; 0 if that is not known.
     """
 
     cache: ServerCache
@@ -30,21 +30,25 @@
 
 @dataclass(frozen=True)
 class PlacementChange:
-    """A change: who gets what of each shard before it and after it. Servers stand in one order throughout.
+    """A change of placement, by the traffic that servers receive before and after it.
+
+    Servers are in the same order in all fields.
 
     Attributes:
-        servers: All servers, before and after.
+        servers: All servers that are used before or after the change.
         before: The traffic before the change.
-        after: The traffic after it.
-        popularity: Of keys, by the nodes that were heard of.
-        earlier: The traffic before the previous change, if that still has an effect.
+        after: The traffic after the change.
+        popularity: Request rates of keys, by the nodes that reported.
+        earlier: The traffic before the previous change, if that change still has an effect.
         earlier_age_s: Seconds since the previous change.
-        drift_per_s: The part of popularity that moves in a second.
-        silent_fraction: The part of the requests whose nodes were not heard of.
-        divergent_fraction: The part of the requests by which nodes' keys differ from all nodes' together.
-        reported_hit_ratio: What answers reported.
-        past_error: Root mean square error of past forecasts of such changes.
-        total_rate: Requests a second of all nodes, where silent ones are to be counted in.
+        drift_per_s: Fraction of popularity that moves to other keys in a second.
+        silent_fraction: Fraction of the requests that is sent by nodes that have not reported.
+        divergent_fraction: Fraction of the requests by which the keys of single nodes differ from those of
+            all nodes together.
+        reported_hit_ratio: Hit ratio that answers reported before the change; None if none did.
+        past_error: Root mean square error of past forecasts of the same kind of change.
+        total_rate: Requests a second of all nodes including silent ones; None if only the nodes that reported
+            are to be counted.
     """
 
     servers: Sequence[ServerState]
--- a/loadbalancer/forecast/popularity.py
+++ b/loadbalancer/forecast/popularity.py
@@ -1,8 +1,9 @@
-"""Request rates of all keys, estimated from a digest.
+"""Estimates the request rates of all keys from a digest.
 
-The most requested keys are known one by one; the others' rates are fitted to the sample (`rate_mixture`).
-What the sample says of all requests is corrected by their number, which is known exactly (as in SHARDS-adj,
-with the regression estimator of survey sampling in place of its addition to the first bucket).
+The most requested keys are known individually; the rates of the others are fitted to the sample
+(`rate_mixture`). The total of requests that the sample implies is corrected by the real total, which is
+known exactly. SHARDS-adj does the same; here the regression estimator of survey sampling takes the place of
+its addition to the first bucket.
 """
 
 from __future__ import annotations
@@ -16,20 +17,21 @@
 from loadbalancer.forecast.rendezvous import POSITION_COUNT, shard_of
 from loadbalancer.forecast.sliced_work import SlicedWork
 
-MIN_TOP_COUNT = 6  # a key requested less often is left to the sample
-JACKKNIFE_GROUPS = 4  # parts of the sample whose differences tell its error
-MIN_KNOWN_KEYS = 50  # fewer tell nothing
-MIN_SAMPLE_CORRECTION = 0.1
-# Mean absolute deviation of a normal distribution, squared, over its variance (2 / pi, rounded).
+MIN_TOP_COUNT = 6  # requests; a key with fewer is covered by the sample only
+# Groups of sampled keys; each is left out once to estimate the error of the sample (jackknife).
+JACKKNIFE_GROUPS = 4
+MIN_KNOWN_KEYS = 50  # keys; with fewer, popularity counts as unknown
+MIN_SAMPLE_CORRECTION = 0.1  # lower bound of the factor on a group's number of keys
+# Square of the mean absolute deviation of a normal distribution, divided by its variance (2 / pi, rounded).
 CHANCE_VARIANCE_RATIO = 0.64
 
 
 class TopKey(NamedTuple):
-    """A key that is known by itself.
+    """One of the most requested keys.
 
     Attributes:
-        shard: Its shard.
-        rate: Requests a second.
+        shard: The key's shard.
+        rate: Requests a second for the key.
     """
 
     shard: int
@@ -38,14 +40,14 @@
 
 @dataclass(frozen=True)
 class Popularity:
-    """Requests a second for keys, from all nodes that were heard of.
+    """Request rates of keys over all nodes that reported, in requests a second.
 
     Attributes:
-        rate: Of all keys together.
+        rate: Rate of all keys together.
         top: The most requested keys.
-        tail: The other keys of all shards, by rate.
-        sampled_keys: Keys from which the tail was estimated.
-        jackknife_tails: The tail as parts of the sample show it, each part without a different group of keys.
+        tail: All other keys of all shards, in groups of the same rate.
+        sampled_keys: Number of sampled keys from which the tail was estimated.
+        jackknife_tails: Estimates of the tail, each with another group of the sampled keys left out.
     """
 
     rate: float
@@ -56,70 +58,86 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether there is enough to say anything."""
+        """Whether enough keys were counted for an estimate."""
         return self.rate > 0 and (
             self.sampled_keys >= MIN_KNOWN_KEYS or len(self.top) >= MIN_KNOWN_KEYS
         )
 
     def per_shard(self, shard_count: int) -> Popularity:
-        """The same with the tail of one shard in place of all."""
+        """Returns the same popularity with the tail of one shard instead of all shards."""
         return replace(
             self,
-            tail=_divide(self.tail, shard_count),
+            tail=_tail_of_one_shard(self.tail, shard_count),
             jackknife_tails=[
-                _divide(tail, shard_count) for tail in self.jackknife_tails
+                _tail_of_one_shard(tail, shard_count) for tail in self.jackknife_tails
             ],
         )
 
 
-def _divide(tail: list[KeyGroup], parts: int) -> list[KeyGroup]:
-    return [KeyGroup(keys / parts, rate) for keys, rate in tail]
+def _tail_of_one_shard(tail: list[KeyGroup], shard_count: int) -> list[KeyGroup]:
+    """Returns the keys of one shard, as keys are spread evenly over the shards."""
+    return [KeyGroup(keys / shard_count, rate) for keys, rate in tail]
 
 
 @dataclass(frozen=True)
 class _SampleScale:
-    """What the sample stands for.
+    """The totals to which a sample is scaled.
 
     Attributes:
-        requests: Of all keys that are not among the most requested.
-        span_s: The time that the counts are of.
+        requests: Number of requests for all keys that are not among the most requested.
+        span_s: Duration over which requests were counted.
     """
 
     requests: float
     span_s: float
 
-    def rates(self, groups: list[KeyGroup], sampled_part: float) -> list[KeyGroup]:
-        """Sampled keys and their counts as all keys and their rates, such that the requests come out right.
+    def rates(self, groups: list[KeyGroup], sampled_fraction: float) -> list[KeyGroup]:
+        """Scales sampled keys and their counts to all keys and their rates, so that the total is right.
 
-        Drawn too often or too seldom are above all the few keys with large counts, so the keys' numbers are
-        corrected in proportion to their counts.
+        The sample is off mostly because it contains too many or too few of the rare keys with large counts.
+        The numbers of keys are therefore corrected in proportion to their counts.
 
         Args:
             groups: Sampled keys by count.
-            sampled_part: The part of all keys that is sampled.
+            sampled_fraction: Fraction of all keys that is sampled.
+
+        Returns:
+            Groups of keys with their rates in requests a second.
         """
         if self.requests <= 0:
             return []
         if not groups:
-            # All requests are known by their number alone: keys requested once.
+            # Only the number of requests is known: each is taken as the only one for its key.
             return [KeyGroup(self.requests, 1 / self.span_s)]
-        first = sum(keys * count for keys, count in groups) / sampled_part
-        second = sum(keys * count * count for keys, count in groups) / sampled_part
-        slope = (self.requests - first) / second
+        first_moment = sum(keys * count for keys, count in groups) / sampled_fraction
+        second_moment = (
+            sum(keys * count * count for keys, count in groups) / sampled_fraction
+        )
+        slope = (self.requests - first_moment) / second_moment
         scaled = [
             (
-                keys / sampled_part * max(MIN_SAMPLE_CORRECTION, 1 + slope * count),
+                keys / sampled_fraction * max(MIN_SAMPLE_CORRECTION, 1 + slope * count),
                 count,
             )
             for keys, count in groups
         ]
-        # The lower bound of a correction may have left a rest.
-        rest = self.requests / sum(keys * count for keys, count in scaled)
-        return [KeyGroup(keys * rest, count / self.span_s) for keys, count in scaled]
+        # MIN_SAMPLE_CORRECTION may have left a difference to the total.
+        final_factor = self.requests / sum(keys * count for keys, count in scaled)
+        return [
+            KeyGroup(keys * final_factor, count / self.span_s) for keys, count in scaled
+        ]
 
 
 def estimate_popularity(digest: KeyDigest, shard_count: int) -> SlicedWork[Popularity]:
-    """Estimates the rates behind a digest."""
+    """Estimates the request rates of all keys from a digest.
+
+    Args:
+        digest: The counts of all nodes that reported.
+        shard_count: Number of shards.
+
+    Returns:
+        The popularity; one without requests or keys if the digest has none.
+    """
     if not digest.requests or digest.threshold <= 0:
         return Popularity(0.0, [], [], 0, [])
     span_s = digest.span_us / 1e6
@@ -129,26 +147,30 @@
         if count >= MIN_TOP_COUNT
     }
     scale = _SampleScale(max(0.0, digest.requests - sum(top.values())), span_s)
-    sampled_part = digest.threshold / POSITION_COUNT
-    sampled = [line for line in digest.counts.items() if line[0] not in top]
+    sampled_fraction = digest.threshold / POSITION_COUNT
+    sampled = [pair for pair in digest.counts.items() if pair[0] not in top]
     yield
     tail = yield from fit_mixture([count for _, count in sampled])
-    jackknife = yield from _jackknife(sampled)
-    part_left = sampled_part * (1 - 1 / JACKKNIFE_GROUPS)
+    jackknife = yield from _jackknife_groups(sampled)
+    jackknife_fraction = sampled_fraction * (1 - 1 / JACKKNIFE_GROUPS)
     return Popularity(
         rate=digest.requests / span_s,
         top=[
             TopKey(shard_of(position, shard_count), count / span_s)
             for position, count in sorted(top.items())
         ],
-        tail=scale.rates(tail, sampled_part),
+        tail=scale.rates(tail, sampled_fraction),
         sampled_keys=len(sampled),
-        jackknife_tails=[scale.rates(groups, part_left) for groups in jackknife],
+        jackknife_tails=[
+            scale.rates(groups, jackknife_fraction) for groups in jackknife
+        ],
     )
 
 
-def _jackknife(sampled: list[tuple[int, int]]) -> SlicedWork[list[list[KeyGroup]]]:
-    """The sample's counts, with another group of its keys left out in each."""
+def _jackknife_groups(
+    sampled: list[tuple[int, int]],
+) -> SlicedWork[list[list[KeyGroup]]]:
+    """Returns the sample's keys grouped by count, once for each group of keys that is left out."""
     if not sampled:
         return []
     tails = []
@@ -162,20 +184,24 @@
 
 
 def popularity_drift(before: KeyDigest, after: KeyDigest) -> float:
-    """How far popularity has drifted between two digests of the same sample: from 0 to 1.
+    """Returns how far popularity has drifted between two digests of the same sample, from 0 to 1.
 
-    The part of the requests for the most requested keys that went to others, less what chance alone makes.
+    This is the fraction of the requests for the most requested keys that moved to other keys, less the
+    difference that chance alone causes.
     """
     positions = set(before.top) | set(after.top)
     if not positions or not before.requests or not after.requests:
         return 0.0
     difference = chance = total = 0.0
     for position in positions:
-        one = before.top.get(position, before.top_floor / 2) / before.requests
-        other = after.top.get(position, after.top_floor / 2) / after.requests
-        difference += abs(one - other)
-        total += one + other
+        fraction_before = (
+            before.top.get(position, before.top_floor / 2) / before.requests
+        )
+        fraction_after = after.top.get(position, after.top_floor / 2) / after.requests
+        difference += abs(fraction_before - fraction_after)
+        total += fraction_before + fraction_after
         chance += sqrt(
-            CHANCE_VARIANCE_RATIO * (one / before.requests + other / after.requests)
+            CHANCE_VARIANCE_RATIO
+            * (fraction_before / before.requests + fraction_after / after.requests)
         )
     return max(0.0, min(1.0, (difference - chance) / total)) if total else 0.0
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -413,7 +413,7 @@
     ("more", "word"),
     [
         ({"popularity": Popularity(0.0, [], [], 0, [])}, "too few"),
-        ({"silent_fraction": 0.6}, "not heard"),
+        ({"silent_fraction": 0.6}, "not reported"),
         ({"servers": [ServerState(ServerCache(0.0))] * 10}, "size"),
     ],
 )
--- a/tests/test_forecast_part.py
+++ b/tests/test_forecast_part.py
@@ -313,7 +313,7 @@
         forecast.on_change_requested(Change.PLACEMENT, "tier=0", answers.append)
         await until(lambda: len(answers) == 2)
         assert not answers[1].allowed
-        assert "not heard" in answers[1].reason
+        assert "not reported" in answers[1].reason
         # In cells only the own cell's records come: who is heard of these stands for all.
         many = [*live, *(f"x{i}" for i in range(40))]
         bench.node.feature_host.live_members = lambda: many  # type: ignore[method-assign, union-attr]
--- a/tests/test_forecast_rules.py
+++ b/tests/test_forecast_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from loadbalancer.forecast.accuracy import (
-    TRUSTED_AGAIN,
+    RIGHT_TO_REGAIN_TRUST,
     UNPROVEN_ERROR,
     ForecastAccuracy,
 )
@@ -70,7 +70,7 @@
     assert account.published("join", DIP).unknown_reason
     assert account.past_error("join") > 0.1
     assert account.published("size", DIP) == DIP  # of another kind nothing is said
-    for turn_ in range(TRUSTED_AGAIN):
+    for turn_ in range(RIGHT_TO_REGAIN_TRUST):
         assert account.published("join", DIP).unknown_reason
         watched(account, "join", RIGHT, (turn_ + 1) * 1_000 * S)
     assert account.published("join", DIP) == DIP
@@ -95,7 +95,7 @@
     account = ForecastAccuracy()
     watched(account, "join", WRONG, told=0)
     assert account.is_trusted("join")
-    assert account.unjudged == 1
+    assert account.unevaluated == 1
     assert account.past_error("join") == UNPROVEN_ERROR
 
 
