--- a/loadbalancer/forecast/__init__.py
+++ b/loadbalancer/forecast/__init__.py
@@ -1,11 +1,12 @@
-"""Shard placement, sampled key popularity, and a forecast of the cache hit ratio after a change of placement.
+"""Shard placement, sampled key popularity, and forecasts of the cache hit ratio after a change of placement.
 
-* Placement: `rendezvous` (key to shard to servers), `shard_router` (one node's, while it changes),
-  `subsets` and `shard_traffic` (the whole fleet's).
-* Popularity: `key_sample` counts, `key_digest` merges, `key_records` carries it between nodes, and
-  `popularity` estimates rates.
-* Forecast: `forecaster`, with `cache_model` and `server_keys` below it; `accuracy` compares it with what
-  came of it; `migration` decides by it how a change is made.
+* Placement: `rendezvous` maps keys to shards and shards to servers, `shard_router` routes one node's keys
+  while its placement changes, and `subsets` and `shard_traffic` compute the traffic of the entire fleet.
+* Popularity: `key_sample` counts requests by key, `key_digest` merges counts, `key_records` encodes them for
+  other nodes, and `popularity` estimates request rates.
+* Forecast: `forecaster` is built on `cache_model` and `server_keys`; `accuracy` compares forecasts with the
+  hit ratios that are observed; `migration` decides by a forecast how a change is made.
 
-Pure: no I/O, no clock, no randomness. Long work is a generator (`sliced_work`).
+The package performs no I/O and uses neither a clock nor randomness. Long work is done by generators
+(`sliced_work`).
 """
--- a/loadbalancer/forecast/cache_model.py
+++ b/loadbalancer/forecast/cache_model.py
@@ -1,4 +1,4 @@
-"""A server's cache: how many objects it holds, and what a time to live takes from its hits."""
+"""Models a server's cache: how many objects it holds, and how a time to live reduces its hits."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from math import erf, exp, inf, log, sqrt
 from typing import NamedTuple
 
-# Beyond so many expected requests in the characteristic time a key is always there until it expires.
+# Expected requests in the characteristic time above which a key is assumed to stay until it expires.
 CERTAIN_REQUESTS = 30
-MAX_EXPONENT = 50.0
-TINY_FRACTION = 1e-9
-TINY_TIME_S = 1e-12
+MAX_EXPONENT = 50.0  # upper bound of the argument of an exponential function
+TINY_FRACTION = 1e-9  # lower bound of a divisor
+TINY_TIME_S = 1e-12  # lower bound of a divisor in seconds
 
 
 @dataclass(frozen=True)
 class ServerCache:
-    """What a server's cache is.
+    """The properties of a server's cache.
 
     Attributes:
-        objects: How many it holds; `object_capacity` converts bytes.
-        ttl_s: Seconds after which an object is fetched again; 0: never.
-        cacheable_fraction: The part of requests whose answer may be cached at all.
+        objects: Number of objects that the cache holds; `object_capacity` converts from bytes.
+        ttl_s: Seconds after which an object expires and is fetched again; 0 if objects do not expire.
+        cacheable_fraction: Fraction of the requests whose answers may be cached.
     """
 
     objects: float
@@ -32,8 +32,8 @@
     """A cache's size in objects.
 
     Attributes:
-        objects: How many objects it holds.
-        admitted_fraction: The part of objects that are not too large for it.
+        objects: Number of objects that the cache holds.
+        admitted_fraction: Fraction of the objects that are small enough to be cached.
     """
 
     objects: float
@@ -43,15 +43,15 @@
 def object_capacity(
     size: float, mean: float, variation: float = 0.0, largest: float = inf
 ) -> ObjectCapacity:
-    """How many objects a cache holds.
+    """Returns how many objects a cache holds.
 
-    Sizes of objects are taken as lognormal, and to have nothing to do with popularity.
+    Object sizes are assumed to be distributed lognormally and independently of popularity.
 
     Args:
-        size: Of the cache, in bytes.
-        mean: Size of an object, in bytes.
-        variation: Coefficient of variation of that.
-        largest: Larger objects are not cached, in bytes.
+        size: Size of the cache in bytes.
+        mean: Mean size of an object in bytes.
+        variation: Coefficient of variation of the object size.
+        largest: Size in bytes above which objects are not cached.
     """
     if variation <= 0:
         if mean <= largest:
@@ -60,28 +60,29 @@
     if largest == inf:
         return ObjectCapacity(size / mean, 1.0)
     variance = log(1 + variation * variation)
-    point = (log(largest / mean) + variance / 2) / sqrt(variance)
-    admitted = _normal_cdf(point)
+    z_score = (log(largest / mean) + variance / 2) / sqrt(variance)
+    admitted = _normal_cdf(z_score)
     admitted_mean = (
-        mean * _normal_cdf(point - sqrt(variance)) / max(admitted, TINY_FRACTION)
+        mean * _normal_cdf(z_score - sqrt(variance)) / max(admitted, TINY_FRACTION)
     )
     return ObjectCapacity(size / admitted_mean, admitted)
 
 
 def _normal_cdf(value: float) -> float:
+    """Returns the cumulative distribution function of the standard normal distribution."""
     return (1 + erf(value / sqrt(2))) / 2
 
 
 def ttl_hit_factor(rate: float, characteristic_time_s: float, ttl_s: float) -> float:
-    """How much of a key's hits a time to live leaves: hits with it over hits without.
+    """Returns the ratio of a key's hits with a time to live to its hits without one.
 
-    A key is fetched, found until it is evicted, and fetched again. Without a time to live it stays for
-    (exp(rate theta) - 1) / rate on average, theta (the characteristic time) at the least; beyond that its
-    stay is taken as exponential.
+    A key is fetched, hit until it is evicted, and fetched again. Without a time to live it stays in the cache
+    for (exp(rate theta) - 1) / rate on average, where theta is the characteristic time, and for at least
+    theta. The part of its stay beyond theta is assumed to be distributed exponentially.
 
     Args:
-        rate: Requests for the key a second.
-        characteristic_time_s: Of the cache; may be infinite.
+        rate: Requests a second for the key.
+        characteristic_time_s: Characteristic time of the cache; may be infinite.
         ttl_s: The time to live.
     """
     if rate <= 0:
@@ -89,17 +90,20 @@
     theta = characteristic_time_s
     expected = rate * theta
     if expected > CERTAIN_REQUESTS or theta == inf:
-        stay, without_ttl = ttl_s, 1.0
+        stay_s, without_ttl = ttl_s, 1.0
     else:
-        mean_stay = (exp(expected) - 1) / rate
+        mean_stay_s = (exp(expected) - 1) / rate
         without_ttl = 1 - exp(-expected)
-        stay = _stay_with_ttl(mean_stay, theta, ttl_s)
-    hits = rate * stay
+        stay_s = _stay_with_ttl(mean_stay_s, theta, ttl_s)
+    hits = rate * stay_s
     return min(1.0, hits / (1 + hits) / without_ttl) if without_ttl > 0 else 1.0
 
 
-def _stay_with_ttl(mean_stay: float, theta: float, ttl_s: float) -> float:
+def _stay_with_ttl(mean_stay_s: float, theta: float, ttl_s: float) -> float:
+    """Returns the mean time in seconds that a key stays in the cache, limited by a time to live."""
     if ttl_s <= theta:
         return ttl_s
-    beyond = max(mean_stay - theta, TINY_TIME_S)
-    return theta + beyond * (1 - exp(-min(MAX_EXPONENT, (ttl_s - theta) / beyond)))
+    beyond_theta_s = max(mean_stay_s - theta, TINY_TIME_S)
+    return theta + beyond_theta_s * (
+        1 - exp(-min(MAX_EXPONENT, (ttl_s - theta) / beyond_theta_s))
+    )
--- a/loadbalancer/forecast/fleet_keys.py
+++ b/loadbalancer/forecast/fleet_keys.py
@@ -1,4 +1,4 @@
-"""What all nodes' key reports say together."""
+"""Merges the key reports of all nodes and fills in averages for nodes that have not reported."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from loadbalancer.forecast.subsets import NodeInfo
 
 RingPosition = tuple[int, int]
-"""A node's index among the nodes, and how many those are."""
+"""A node's index among the nodes, from 0, and the number of nodes."""
 
 
 @dataclass(frozen=True)
 class FleetKeys:
-    """The reports and their sum.
+    """The key reports of the fleet's nodes and their sum.
 
     Attributes:
-        reports: By node.
-        digest: All nodes' counts together.
-        divergent_fraction: The part of the requests by which nodes' keys differ from all nodes' together.
+        reports: Reports by node.
+        digest: The merged counts of all nodes that reported.
+        divergent_fraction: Fraction of the requests by which the keys of single nodes differ from those of
+            all nodes together.
     """
 
     reports: Mapping[str, NodeKeyReport]
@@ -36,11 +37,11 @@
 
     @property
     def mean_rate(self) -> float:
-        """Requests a second of one of them."""
+        """Mean requests a second of a node that reported."""
         return self.rate / max(1, len(self.reports))
 
     def total_rate(self, nodes: int) -> float:
-        """Requests a second of so many nodes; those that are silent are taken for average ones."""
+        """Returns the requests a second of a number of nodes; silent ones count as average nodes."""
         return self.rate + self.mean_rate * (nodes - len(self.reports))
 
     def nodes(
@@ -49,12 +50,13 @@
         ring_positions: Mapping[str, RingPosition],
         own_size: int,
     ) -> list[NodeInfo]:
-        """What is known of nodes; those that are silent are taken for average ones.
+        """Returns what is known of the nodes; silent ones count as average nodes.
 
         Args:
             names: The live nodes, in the order of their ring positions.
-            ring_positions: Those that some have instead of the ones by `names`.
-            own_size: Servers that this node wants in its subset: the others' are as many, unless they say.
+            ring_positions: Positions of nodes that differ from those by `names`.
+            own_size: Number of servers that this node wants in its subset; assumed for nodes that do not
+                report theirs.
         """
         mean_rate, infos = self.mean_rate, []
         for index, name in enumerate(names):
@@ -68,14 +70,18 @@
 
 
 def merge_reports(reports: Mapping[str, NodeKeyReport]) -> SlicedWork[FleetKeys]:
-    """Adds the nodes' reports up."""
+    """Merges the nodes' reports.
+
+    Args:
+        reports: Reports by node.
+    """
     digest = yield from merge_in_slices([report.digest for report in reports.values()])
-    divergent = 0.0
+    divergent_fraction = 0.0
     for report in reports.values():
-        divergent += (
+        divergent_fraction += (
             popularity_drift(digest, report.digest)
             * report.digest.requests
             / max(1, digest.requests)
         )
         yield
-    return FleetKeys(reports, digest, divergent)
+    return FleetKeys(reports, digest, divergent_fraction)
--- a/loadbalancer/forecast/key_digest.py
+++ b/loadbalancer/forecast/key_digest.py
@@ -1,4 +1,4 @@
-"""Counts of keys as a value: of one node's windows, and merged over several nodes."""
+"""Counts of requests by key, of one node's windows or merged over several nodes."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 from loadbalancer.forecast.rendezvous import POSITION_COUNT
 from loadbalancer.forecast.sliced_work import SlicedWork, run_to_end
 
-# Most requested keys of a window; twice as many are counted before the lesser half goes.
+# Most requested keys that are kept of a window. Up to twice as many are counted before the keys with lower
+# counts are dropped.
 MAX_TOP_KEYS = 256
 SLICE_DIGESTS = 8  # digests merged in a slice
 
 
 @dataclass(frozen=True)
 class KeyDigest:
-    """What was counted by one node, or by several together. Rates are counts over `span_us`.
+    """Counts of requests by key, of one node or of several together. Rates are counts over `span_us`.
 
     Attributes:
-        span_us: The time that the counts are of, in microseconds.
-        requests: Of all keys.
-        threshold: Keys at positions below it are in `counts`, unless nobody requested them.
-        counts: Requests by position, of the sampled keys.
-        top: Requests by position, of the most requested keys.
-        top_floor: A key that is not in `top` has been requested so often at most.
+        span_us: Duration over which requests were counted, in microseconds.
+        requests: Number of requests for all keys.
+        threshold: Position below which all requested keys are in `counts`.
+        counts: Requests for the sampled keys, by position.
+        top: Requests for the most requested keys, by position.
+        top_floor: Upper bound of the requests for a key that is not in `top`.
         hits: Recent answers that came from a cache.
-        reported_answers: Recent answers that said whether they did.
+        reported_answers: Recent answers that reported whether they came from a cache.
     """
 
     span_us: int = 1
@@ -40,7 +41,7 @@
 
     @property
     def rate(self) -> float:
-        """Requests a second."""
+        """Requests a second for all keys."""
         return self.requests / self.span_us * 1e6
 
     @property
@@ -51,7 +52,12 @@
         return self.hits / self.reported_answers
 
     def truncated(self, max_sampled: int, max_top: int = MAX_TOP_KEYS) -> KeyDigest:
-        """The same with fewer keys: those with the least positions, and the most requested."""
+        """Returns the same digest with fewer keys.
+
+        Args:
+            max_sampled: Number of sampled keys to keep, those with the lowest positions.
+            max_top: Number of most requested keys to keep, those with the highest counts.
+        """
         threshold, counts = self._truncated_sample(max_sampled)
         top_floor, top = self._truncated_top(max_top)
         return KeyDigest(
@@ -66,7 +72,7 @@
         )
 
     def _truncated_sample(self, max_sampled: int) -> tuple[int, dict[int, int]]:
-        """Threshold and counts: the threshold falls to the first position left out."""
+        """Returns threshold and counts; the threshold falls to the first position left out."""
         if len(self.counts) <= max_sampled:
             return self.threshold, self.counts
         kept = nsmallest(max_sampled + 1, self.counts)
@@ -74,18 +80,18 @@
         return threshold, {position: self.counts[position] for position in kept}
 
     def _truncated_top(self, max_top: int) -> tuple[int, dict[int, int]]:
-        """Floor and counts: the floor rises to the first count left out."""
+        """Returns floor and counts; the floor rises to the highest count left out."""
         if len(self.top) <= max_top:
             return self.top_floor, self.top
         ranked = nlargest(
-            max_top + 1, self.top.items(), key=lambda line: (line[1], line[0])
+            max_top + 1, self.top.items(), key=lambda pair: (pair[1], pair[0])
         )
         _, count = ranked.pop()
         return max(self.top_floor, count), dict(ranked)
 
 
 def join_windows(digests: Sequence[KeyDigest]) -> KeyDigest:
-    """Joins counts of one node over spans that follow each other."""
+    """Joins digests of one node over consecutive spans into one of the total span."""
     joined = merge(digests)
     return KeyDigest(
         span_us=sum(digest.span_us for digest in digests),
@@ -100,16 +106,17 @@
 
 
 def merge(digests: Iterable[KeyDigest]) -> KeyDigest:
-    """Merges counts of several nodes over one span, as `merge_in_slices` does."""
+    """Merges digests of several nodes over one span, as `merge_in_slices` does, without a pause."""
     return run_to_end(merge_in_slices(digests))
 
 
 def merge_in_slices(digests: Iterable[KeyDigest]) -> SlicedWork[KeyDigest]:
-    """Merges counts of several nodes over one span: any order gives the same.
+    """Merges digests of several nodes over one span; the result does not depend on their order.
 
-    The least threshold holds for all. A key that a digest does not have among its most requested ones was
-    requested there between never and the digest's floor: half of the floor is added. A key that digests with
-    less than half of the requests have is left to the sample.
+    The lowest threshold applies to all digests. If a key is not among the most requested ones of a digest, it
+    was requested there between 0 times and the digest's floor, so half of the floor is added. A key is
+    covered by the sample only if the digests that have it among the most requested ones account for less
+    than half of the requests.
     """
     digests = list(digests)
     hits = sum(digest.hits for digest in digests)
@@ -118,9 +125,9 @@
     if not digests:
         return KeyDigest()
     merger = _Merger(min(digest.threshold for digest in digests))
-    for number, digest in enumerate(digests):
+    for index, digest in enumerate(digests):
         merger.add(digest)
-        if number % SLICE_DIGESTS == SLICE_DIGESTS - 1:
+        if index % SLICE_DIGESTS == SLICE_DIGESTS - 1:
             yield
     return KeyDigest(
         span_us=sum(digest.span_us for digest in digests) // len(digests),
@@ -135,13 +142,16 @@
 
 
 class _Merger:
-    """Adds digests up.
+    """Sums of digests.
 
     Attributes:
+        threshold: Positions below it are added to `counts`.
+        requests: Number of requests for all keys.
         floors: Sum of the digests' floors.
-        top: Counts of the most requested keys.
-        top_floors: Sum of the floors of the digests that have the key.
-        top_requests: Sum of the requests of the digests that have the key.
+        counts: Requests for the sampled keys, by position.
+        top: Requests for the most requested keys, by position.
+        top_floors: Sum of the floors of the digests that have a key in `top`, by position.
+        top_requests: Sum of the requests of the digests that have a key in `top`, by position.
     """
 
     def __init__(self, threshold: int) -> None:
@@ -154,6 +164,7 @@
         self.top_requests: dict[int, int] = {}
 
     def add(self, digest: KeyDigest) -> None:
+        """Adds a digest."""
         self.requests += digest.requests
         self.floors += digest.top_floor
         counts, threshold = self.counts, self.threshold
@@ -167,7 +178,7 @@
             requests[position] = requests.get(position, 0) + digest.requests
 
     def top_keys(self) -> dict[int, int]:
-        """The keys that digests with half of the requests have, with their estimated counts."""
+        """Returns estimated counts of the keys in `top` of digests with at least half of the requests."""
         return {
             position: count + (self.floors - self.top_floors[position]) // 2
             for position, count in self.top.items()
--- a/loadbalancer/forecast/key_sample.py
+++ b/loadbalancer/forecast/key_sample.py
@@ -1,14 +1,14 @@
-"""One node's counts of keys: a sample that is the same in every node, and the most requested keys.
+"""Counts one node's requests by key, for a sample of keys and for the most requested keys.
 
-Spatially hashed sampling with a fixed size (SHARDS, Waldspurger et al., FAST 2015): a key is sampled if its
-position lies below a threshold, which falls when the sample is full. All nodes so sample the same keys, and
-their counts add up. Beside it stand the most requested keys, counted by a count-min sketch (Cormode and
-Muthukrishnan 2005, with conservative update): few keys make a large part of all requests, and by a sample
-alone each of them would be there a hundredfold or not at all.
+The sample uses spatially hashed sampling with a fixed size (SHARDS, Waldspurger et al., FAST 2015): a key is
+sampled if its position lies below a threshold, which falls when the sample is full. All nodes therefore
+sample the same keys, and their counts can be added. In addition, the most requested keys are counted by a
+count-min sketch (Cormode and Muthukrishnan 2005, with conservative update). A few keys receive a large
+fraction of all requests; by the sample alone, each of them would either count a hundredfold or be missing.
 
-Counts are of two windows, the one that is being filled and the one before, so that they follow a drift and
-always cover one complete window. A key's counts are complete for as long as it is sampled: the threshold
-only falls within a window, and a key that stays has been counted from the window's beginning.
+There are two windows, the one that is being filled and the previous one, so that counts follow a drift and
+always cover one complete window. The count of a sampled key is complete: within a window the threshold only
+falls, so that a key that remains in the sample has been counted from the start of the window.
 """
 
 from __future__ import annotations
@@ -19,26 +19,27 @@
 from loadbalancer.forecast.key_digest import MAX_TOP_KEYS, KeyDigest, join_windows
 from loadbalancer.forecast.rendezvous import POSITION_COUNT
 
-MAX_SAMPLED_KEYS = 2_048  # of a window
-HIT_PERIODS_PER_WINDOW = 5  # hits are those of the last two of these periods
-# The two rows of the sketch go by different bits of a position: so many each.
+MAX_SAMPLED_KEYS = 2_048  # sampled keys of one window
+# Periods per window for counting hits; the hit ratio covers the latest two of them.
+HIT_PERIODS_PER_WINDOW = 5
+# Bits of a position that index a row of the sketch; its two rows use different bits.
 SKETCH_BITS = 13
 SKETCH_MASK = (1 << SKETCH_BITS) - 1
-SKETCH_COUNTER_BYTES = 4
+SKETCH_COUNTER_BYTES = 4  # size of a counter of the sketch
 
 
 class SampleWindow:
     """Counts of one window.
 
     Attributes:
-        started_at: By the node's clock (`Node.now`), in microseconds.
-        requests: Of all keys.
+        started_at: Start of the window by the node's clock (`Node.now`), in microseconds.
+        requests: Number of requests for all keys.
         threshold: Keys at positions below it are sampled.
-        counts: Requests by position, of the sampled keys.
-        heap: The sampled positions, negated: the largest position first.
-        rows: The sketch.
-        top: Requests by position, of the most requested keys.
-        top_floor: A key that is not in `top` has been requested so often at most.
+        counts: Requests for the sampled keys, by position.
+        heap: Heap of the sampled positions, negated so that the highest position comes first.
+        rows: The two rows of counters of the count-min sketch.
+        top: Requests for the most requested keys, by position.
+        top_floor: Upper bound of the requests for a key that is not in `top`.
     """
 
     __slots__ = (
@@ -63,9 +64,9 @@
         self.top_floor = 0
 
     def prune_top(self) -> None:
-        """Keeps the most requested keys. The count of one that goes is at most the floor from now on."""
+        """Keeps only the most requested keys and raises the floor, which bounds the counts of the others."""
         kept = nlargest(
-            MAX_TOP_KEYS, self.top.items(), key=lambda line: (line[1], line[0])
+            MAX_TOP_KEYS, self.top.items(), key=lambda pair: (pair[1], pair[0])
         )
         self.top_floor = max(self.top_floor, kept[-1][1])
         self.top = dict(kept)
@@ -76,18 +77,18 @@
 
 
 class KeySample:
-    """One node's counts. Times are of the node's clock (`Node.now`), in microseconds.
+    """One node's counts of requests by key.
 
-    Memory: at most 2 windows of MAX_SAMPLED_KEYS and 2 * MAX_TOP_KEYS keys, some 0.7 MB, however many keys
-    there are.
+    Times are readings of the node's clock (`Node.now`), in microseconds. Memory is limited to 2 windows of
+    MAX_SAMPLED_KEYS and 2 * MAX_TOP_KEYS keys, about 0.7 MB, whatever the number of keys.
 
     Attributes:
-        window_us: A window's duration.
-        max_sampled: Keys of a window's sample.
+        window_us: Duration of a window.
+        max_sampled: Largest number of sampled keys in a window.
         current: The window that is being filled.
-        previous: The one before, if there was one.
-        hits: Answers from a cache, in the period before this one and in this one.
-        reported_answers: Answers that said whether they came from a cache, in the same periods.
+        previous: The window before it, if there was one.
+        hits: Answers that came from a cache, in the previous period and in the current one.
+        reported_answers: Answers that reported whether they came from a cache, in the same two periods.
     """
 
     def __init__(
@@ -102,10 +103,12 @@
         self.reported_answers = [0, 0]
 
     def roll(self, now: int) -> bool:
-        """Begins another window when it is time; to be called every second or so.
+        """Starts a new window or a new period for hits when the current one is over.
+
+        To be called about once a second.
 
         Returns:
-            Whether a window began.
+            Whether a new window was started.
         """
         if now - self._hit_period_at >= self.window_us // HIT_PERIODS_PER_WINDOW:
             self._hit_period_at = now
@@ -113,18 +116,19 @@
             self.reported_answers = [self.reported_answers[1], 0]
         if now - self.current.started_at < self.window_us:
             return False
-        # By the last window's keys, with room for a half more: so the threshold seldom falls.
-        fill = max(1, len(self.current.counts))
+        # The new threshold follows from the last window's keys and leaves capacity for half as many more, so
+        # that it seldom has to fall.
+        sampled_count = max(1, len(self.current.counts))
         threshold = min(
             POSITION_COUNT,
-            self.current.threshold * max(1, self.max_sampled * 2 // 3) // fill,
+            self.current.threshold * max(1, self.max_sampled * 2 // 3) // sampled_count,
         )
         self.previous = self.current
         self.current = SampleWindow(now, max(1, threshold))
         return True
 
     def add(self, position: int) -> None:
-        """Counts a request for a key. On the request path."""
+        """Counts a request for the key at a position. Called on the request path."""
         window = self.current
         window.requests += 1
         if position < window.threshold:
@@ -137,32 +141,37 @@
                 if len(counts) > self.max_sampled:
                     window.threshold = -heappop(window.heap)
                     del counts[window.threshold]
-        first, second = window.rows
+        first_row, second_row = window.rows
         i, j = position & SKETCH_MASK, position >> SKETCH_BITS & SKETCH_MASK
-        one, other = first[i], second[j]
-        # Never too few; too many by what other keys left in both places.
-        count = (one if one < other else other) + 1
-        if one < count:
-            first[i] = count
-        if other < count:
-            second[j] = count
+        first_count, second_count = first_row[i], second_row[j]
+        # The count is never too low; it is too high if other keys share both counters.
+        count = (first_count if first_count < second_count else second_count) + 1
+        if first_count < count:
+            first_row[i] = count
+        if second_count < count:
+            second_row[j] = count
         if count > window.top_floor:
             window.top[position] = count
             if len(window.top) >= 2 * MAX_TOP_KEYS:
                 window.prune_top()
 
     def add_cache_result(self, hit: bool) -> None:
-        """Counts an answer that said whether it came from a cache."""
+        """Counts an answer that reported whether it came from a cache."""
         self.reported_answers[1] += 1
         self.hits[1] += hit
 
     def hit_ratio(self) -> float | None:
-        """The recent cache hit ratio; None if no answer reported."""
+        """Returns the recent cache hit ratio; None if no answer reported one."""
         answers = sum(self.reported_answers)
         return sum(self.hits) / answers if answers else None
 
     def digest(self, now: int, max_sampled: int = MAX_SAMPLED_KEYS) -> KeyDigest:
-        """What both windows counted, with at most so many keys of the sample."""
+        """Returns the counts of both windows.
+
+        Args:
+            now: The current time.
+            max_sampled: Largest number of sampled keys to include.
+        """
         digests = []
         if self.previous is not None:
             digests.append(self._digest_previous(self.previous))
--- a/loadbalancer/forecast/migration.py
+++ b/loadbalancer/forecast/migration.py
@@ -1,8 +1,8 @@
-"""Whether a change of placement is made at once, in steps, or is deferred.
+"""Decides whether a change of placement is made at once, in steps, or is deferred.
 
-By the operators' rules and by the forecast at the far end of its interval; an unknown one counts as the
-worst of numbers. Drains, departures, ejected and failed servers and the failover away from a zone are not
-asked about; where they come here all the same they are made at once.
+The decision depends on the operators' rules and on the forecast at the unfavourable end of its interval; an
+unknown forecast counts as the worst case. Drains, departures, ejected and failed servers and the failover
+away from a zone need no decision; if one is requested all the same, they are made at once.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from loadbalancer.forecast.shard_traffic import ShardTraffic
 from loadbalancer.policy.ranked_order import shuffle
 
-# Salts of `shuffle`: they must be the same in all nodes, and differ from each other and from 0, by which the
-# policy orders endpoints (policy/endpoint_list.py, policy/subset.py) and nodes are staggered.
+# Salts of `shuffle`. They must be the same in all nodes, and differ from each other and from 0, which the
+# policy uses to order endpoints (policy/endpoint_list.py, policy/subset.py) and to stagger nodes.
 NODE_TURN_SALT = 5
 SHARD_STEP_SALT = 6
 US_PER_S = 1e6
 
 
 class ChangeKind(StrEnum):
-    """Kinds of changes of placement; the values are published, and stored."""
+    """Kinds of changes of placement; the values are published and stored."""
 
     JOIN = "join"  # servers join
-    SUBSETS = "place"  # nodes' ring positions and so their subsets change
+    SUBSETS = "place"  # nodes' ring positions change, and with them their subsets
     SHARDS = "shards"  # the number of shards or of replicas changes
-    DRAIN = "drain"
-    LEAVE = "leave"
-    FAILED = "failed"
-    ZONE_OUT = "zone_out"
+    DRAIN = "drain"  # servers are drained
+    LEAVE = "leave"  # servers leave
+    FAILED = "failed"  # servers have failed
+    ZONE_OUT = "zone_out"  # requests fail over away from a zone
 
 
 URGENT = frozenset(
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True)
 class MigrationPlan:
-    """What is to be done with a change.
+    """How a change of placement is to be made.
 
     Attributes:
-        steps: In how many steps it is made; 1: at once, 0: not now.
-        pause_s: Between two steps; of a deferred change, until it is looked at again.
-        reason: For operators; empty if it is made at once.
+        steps: Number of steps; 1 if the change is made at once, 0 if it is deferred.
+        pause_s: Seconds between two steps; for a deferred change, until it is evaluated again.
+        reason: The reason for steps or a deferral, for operators; empty if the change is made at once.
     """
 
     steps: int
@@ -56,7 +56,7 @@
 
     @property
     def deferred(self) -> bool:
-        """Whether the change is not to be made now."""
+        """Whether the change is not made now."""
         return not self.steps
 
 
@@ -68,14 +68,14 @@
 ) -> MigrationPlan:
     """Decides how a change is made.
 
-    The largest load of misses, above what there is now, shrinks with the number of steps, where caches
-    recover in between.
+    If caches recover between the steps, the increase of the load of misses over the present one shrinks in
+    proportion to the number of steps.
 
     Args:
-        rules: The operators'.
+        rules: The operators' rules.
         kind: A value of `ChangeKind`, or another kind that is not urgent.
-        forecast: What the change does.
-        deferred_s: For how long it has been deferred already.
+        forecast: The forecast for making the change at once.
+        deferred_s: Seconds for which the change has been deferred already.
     """
     if kind in URGENT:
         return AT_ONCE
@@ -96,21 +96,31 @@
 
 
 def _reason(rules: MigrationRules, forecast: Forecast, load: float) -> str:
+    """Returns why a change is not made at once, for operators."""
     if load < inf:
         return (
-            f"misses of up to {load:.2f} of what a server bears expected,"
+            f"expected misses are up to {load:.2f} of those that a server tolerates,"
             f" {rules.max_load:.2f} allowed"
         )
-    return forecast.unknown_reason or "what servers bear is not known"
+    return forecast.unknown_reason or "the misses that servers tolerate are not known"
 
 
 def node_turn(number: int, steps: int) -> int:
-    """In which of the steps a node makes its own part of a change: dealt out evenly, by its number."""
+    """Returns the step, from 0, in which a node makes its own part of a change.
+
+    Nodes are distributed evenly over the steps by their numbers.
+    """
     return shuffle(number, NODE_TURN_SALT) % steps
 
 
 def shard_has_moved(shard: int, steps: int, steps_done: int) -> bool:
-    """Whether a shard has moved once so many steps are done: the same shards in all nodes."""
+    """Returns whether a shard has moved after a number of steps; the same shards move in all nodes.
+
+    Args:
+        shard: The shard.
+        steps: Number of steps of the change.
+        steps_done: Number of completed steps.
+    """
     return shuffle(shard, SHARD_STEP_SALT) % steps < steps_done
 
 
@@ -121,30 +131,42 @@
     steps_done: int,
     shard_count: int,
 ) -> ShardTraffic:
-    """The traffic once so many steps are done."""
+    """Returns the traffic after a number of steps of a change.
+
+    Args:
+        before: The traffic before the change.
+        after: The traffic after the last step.
+        steps: Number of steps of the change.
+        steps_done: Number of completed steps.
+        shard_count: Number of shards in both placements.
+    """
     has_moved = [
         shard_has_moved(shard, steps, steps_done) for shard in range(shard_count)
     ]
     fractions: list[dict[int, float]] = []
     for old, new in zip(before.fractions, after.fractions, strict=True):
-        by_shard = {shard: part for shard, part in old.items() if not has_moved[shard]}
+        by_shard = {
+            shard: fraction for shard, fraction in old.items() if not has_moved[shard]
+        }
         by_shard.update(
-            (shard, part) for shard, part in new.items() if has_moved[shard]
+            (shard, fraction) for shard, fraction in new.items() if has_moved[shard]
         )
         fractions.append(by_shard)
-    added = (after.mean_replicas - before.mean_replicas) * steps_done / steps
-    return ShardTraffic(fractions, before.mean_replicas + added)
+    added_replicas = (after.mean_replicas - before.mean_replicas) * steps_done / steps
+    return ShardTraffic(fractions, before.mean_replicas + added_replicas)
 
 
 @dataclass
 class MigrationSchedule:
-    """One change that is made in steps. Times are of the node's clock (`Node.now`), in microseconds.
+    """The schedule of one change that is made in steps.
+
+    Times are readings of the node's clock (`Node.now`), in microseconds.
 
     Attributes:
-        steps: How many there are.
+        steps: Number of steps.
         pause_s: Seconds between two steps.
-        started_at: When the first step was made, or is taken to have been.
-        steps_done: How many are done; 0: the change is deferred.
+        started_at: Time of the first step; later than the real one if steps were postponed.
+        steps_done: Number of completed steps; 0 if the change is deferred.
     """
 
     steps: int
@@ -153,25 +175,31 @@
     steps_done: int = 1
 
     def next_step_at(self) -> int | None:
-        """When the next step is to be made; None: all are.
+        """Returns the time at which the next step is due; None if all steps are done.
 
-        Not to be called on a deferred schedule (`steps_done` 0): its first step would seem due at once.
+        Must not be called on a deferred schedule (`steps_done` 0): its first step would seem due at once.
         """
         if self.steps_done >= self.steps:
             return None
         return self.started_at + int(self.steps_done * self.pause_s * US_PER_S)
 
     def advance(self, now: int) -> bool:
-        """Makes the next step if it is due; returns whether it did.
+        """Advances to the next step if it is due.
+
+        Must not be called on a deferred schedule (`steps_done` 0), as it would start the change.
+
+        Args:
+            now: The current time.
 
-        Not to be called on a deferred schedule (`steps_done` 0): it would start it.
+        Returns:
+            Whether the next step was due.
         """
-        due = self.next_step_at()
-        if due is None or now < due:
+        due_at = self.next_step_at()
+        if due_at is None or now < due_at:
             return False
         self.steps_done += 1
         return True
 
     def postpone(self, now: int) -> None:
-        """Has the next step wait for one more pause from now on: caches have not recovered yet."""
+        """Delays the next step by one pause from now on, because caches have not recovered yet."""
         self.started_at = now - int((self.steps_done - 1) * self.pause_s * US_PER_S)
--- a/loadbalancer/forecast/migration_rules.py
+++ b/loadbalancer/forecast/migration_rules.py
@@ -1,6 +1,6 @@
 """The operators' rules for changes of placement.
 
-On its own, so that reading the operators' file loads no forecaster.
+They have a module of their own, so that reading the operators' file does not import the forecaster.
 """
 
 from __future__ import annotations
@@ -10,16 +10,18 @@
 
 @dataclass(frozen=True)
 class MigrationRules:
-    """From the operators' file.
+    """Limits on how a change of placement is made, from the operators' file.
 
     Attributes:
-        max_load: Largest allowed ratio of a server's misses a second to what it tolerates (1.0: exactly
-            that).
-        max_steps: Into so many steps a change is divided at the most.
-        min_pause_s: Between two steps, at the least; else until caches have recovered.
-        max_pause_s: Between two steps, at the most.
-        review_s: A deferred change is looked at again after so long.
-        max_deferral_s: After so long it is made in `max_steps`, whatever is forecast.
+        max_load: Largest allowed ratio of a server's misses a second to those that it tolerates; 1.0 allows
+            exactly the tolerated misses.
+        max_steps: Largest number of steps into which a change is divided.
+        min_pause_s: Shortest pause between two steps; within the limits, a pause lasts until caches have
+            recovered.
+        max_pause_s: Longest pause between two steps.
+        review_s: Time after which a deferred change is evaluated again.
+        max_deferral_s: Time after which a deferred change is made in `max_steps` steps, whatever the
+            forecast.
     """
 
     max_load: float = 1.0
--- a/loadbalancer/forecast/rendezvous.py
+++ b/loadbalancer/forecast/rendezvous.py
@@ -1,14 +1,14 @@
-"""Shard placement by rendezvous hashing: key to shard, shard to replicas among the members of a subset.
+"""Shard placement by rendezvous hashing: from a key to its shard, and from a shard to its replicas.
 
-A key is known by its position: 32 bits of a hash, the same in every node. Those bits select the shard, and
-whether the key is sampled (`key_sample`). Replicas are selected by weighted rendezvous hashing (Thaler and
-Ravishankar 1998; the weights as in Schindelhauer and Schomaker 2005): the members with the best score for
-the shard. Two nodes whose subsets overlap so agree on a replica wherever both have it, and a change of the
-subset moves a shard only where one of its replicas goes, or a better one comes. docs/forecast.md compares
-jump hash and rings with bounded load.
+A key is identified by its position: 32 bits of a hash, the same in every node. These bits determine the
+shard and whether the key is sampled (`key_sample`). The replicas of a shard are the members of a node's
+subset with the best scores in weighted rendezvous hashing (Thaler and Ravishankar 1998; weights as in
+Schindelhauer and Schomaker 2005). Two nodes with overlapping subsets therefore agree on a replica wherever
+both have it in their subset. A change of the subset moves a shard only if one of its replicas leaves or a
+better one joins. docs/forecast.md compares jump hash and rings with bounded load.
 
-A server's draws for all shards come from one extendable hash of its name, so a fleet of 300 has all its
-draws within some milliseconds.
+A server's draws for all shards come from one extendable hash of its name, so that all draws of a fleet of
+300 servers are computed within a few milliseconds.
 """
 
 from __future__ import annotations
@@ -25,27 +25,35 @@
 POSITION_COUNT = 1 << 32  # positions of keys are below this
 POSITION_MASK = POSITION_COUNT - 1
 DRAW_LIMIT = float(1 << 32)  # draws are below this
-DRAW_BYTES = 4
-MIN_WEIGHT = 1e-3
-MAX_SHARDS = 1 << 14
-MAX_CACHED_SERVERS = 2_000
+DRAW_BYTES = 4  # size of a draw
+MIN_WEIGHT = 1e-3  # lower bound of a server's weight
+MAX_SHARDS = 1 << 14  # largest number of shards
+MAX_CACHED_SERVERS = 2_000  # servers whose draws a table keeps
 
 Member = tuple[str, float]
 """A server's name and its weight."""
 
 
 def key_position(key: bytes) -> int:
-    """The 32 bits by which a key is known. Of 10**6 keys some hundred share theirs with another one."""
+    """Returns a key's position: 32 bits of its hash.
+
+    Of 10**6 keys about a hundred share their position with another key.
+    """
     return xxh3_64_intdigest(key) & POSITION_MASK
 
 
 def shard_of(position: int, shard_count: int) -> int:
-    """The shard of a key. Sampling goes by the high bits, shards by the low ones."""
+    """Returns the shard of the key at a position, by its low bits; sampling uses the high bits."""
     return position % shard_count
 
 
 def server_draws(server: str, shard_count: int) -> array[int]:
-    """A server's draw for each shard, 32 bits each; with equal weights the smallest draw wins."""
+    """Returns a server's draw for each shard, 32 bits each; with equal weights the smallest draw wins.
+
+    Args:
+        server: The server's name.
+        shard_count: Number of shards.
+    """
     draws = array("I", shake_128(server.encode()).digest(DRAW_BYTES * shard_count))
     if sys.byteorder != "little":
         draws.byteswap()
@@ -53,12 +61,24 @@
 
 
 def weighted_score(draw: int, weight: float) -> float:
-    """The score of a draw: exponential with the weight as its rate, so the smallest wins by its weight."""
+    """Returns the score of a draw; the smallest score wins.
+
+    Scores are distributed exponentially with the weight as the rate, so that a server has the smallest score
+    with a probability proportional to its weight.
+    """
     return -log(1 - draw / DRAW_LIMIT) / max(weight, MIN_WEIGHT)
 
 
 class DrawTable:
-    """The draws of the servers that were looked up. Bounded by dropping all of them at once."""
+    """A cache of servers' draws, filled when a server is first looked up.
+
+    When it is full, all entries are dropped at once.
+
+    Attributes:
+        shard_count: Number of shards.
+        max_servers: Largest number of servers in the cache.
+        rows: Draws by server, each indexed by shard.
+    """
 
     def __init__(self, shard_count: int, max_servers: int = MAX_CACHED_SERVERS) -> None:
         self.shard_count = shard_count
@@ -66,7 +86,7 @@
         self.rows: dict[str, array[int]] = {}
 
     def row(self, server: str) -> array[int]:
-        """A server's draws, by shard."""
+        """Returns a server's draws, by shard."""
         row = self.rows.get(server)
         if row is None:
             if len(self.rows) >= self.max_servers:
@@ -76,7 +96,15 @@
 
 
 class ShardPlacement:
-    """One node's placement: the replicas of each shard among its members, found when first looked up."""
+    """One node's placement: the replicas of each shard among its members, computed at the first lookup.
+
+    Attributes:
+        table: The servers' draws.
+        replica_count: Replicas of a shard.
+        members: The members of the node's subset.
+        candidates: Draws, weight and index of each member.
+        placed: Replicas by shard, as far as they were looked up.
+    """
 
     def __init__(self, table: DrawTable, replica_count: int) -> None:
         self.table = table
@@ -86,10 +114,13 @@
         self.placed: dict[int, tuple[int, ...]] = {}
 
     def update(self, members: Iterable[Member]) -> bool:
-        """Sets the members, in the order by which `replicas_of` names them.
+        """Sets the members.
+
+        Args:
+            members: Names and weights; `replicas_of` returns indexes into this order.
 
         Returns:
-            Whether they differ from those before.
+            Whether they differ from the previous members.
         """
         updated = tuple(members)
         if updated == self.members:
@@ -103,9 +134,12 @@
         return True
 
     def replicas_of(self, shard: int) -> tuple[int, ...]:
-        """Indexes of the members that hold a shard, the best first; empty where there is no member."""
-        known = self.placed.get(shard)
-        if known is None:
+        """Returns the indexes of a shard's replicas among the members, the best first.
+
+        The result is empty if there are no members.
+        """
+        replicas = self.placed.get(shard)
+        if replicas is None:
             best = nsmallest(
                 self.replica_count,
                 (
@@ -113,5 +147,5 @@
                     for row, weight, index in self.candidates
                 ),
             )
-            known = self.placed[shard] = tuple(index for _, index in best)
-        return known
+            replicas = self.placed[shard] = tuple(index for _, index in best)
+        return replicas
--- a/loadbalancer/forecast/server_keys.py
+++ b/loadbalancer/forecast/server_keys.py
@@ -1,9 +1,9 @@
-"""The keys of one server, and by them its cache's characteristic time and hit ratio.
+"""Computes a cache's characteristic time and hit ratio from the keys of its server.
 
-A least-recently-used cache holds the keys that were requested within its characteristic time: Che's
-approximation (Che, Tung, Wang 2002; why it holds so well: Fricker, Robert, Roberts 2012). After a change of
-placement the same holds with a time that itself changes: a key is there if it was requested within that
-time, by its rate here before the change and its rate here since.
+By Che's approximation, a least-recently-used cache holds the keys that were requested within its
+characteristic time (Che, Tung, Wang 2002; Fricker, Robert, Roberts 2012 explain why it is so accurate).
+After a change of placement the same holds with a characteristic time that itself changes: the cache holds a
+key if it was requested within that time, at the rate it had on this server before the change or has since.
 """
 
 from __future__ import annotations
@@ -12,32 +12,34 @@
 from math import exp, inf, log, sqrt
 from operator import mul
 
-ALWAYS_S = 1e7  # seconds: as good as for ever
-CAPACITY_TOLERANCE = (
-    1e-3  # of the cached keys: how well the characteristic time is found
-)
-MAX_ITERATIONS = 40
-MIN_TIME_S = 1e-6
-TINY = 1e-9
-MAX_LOG_TIME = 30.0
-WIDE_BRACKET_RATIO = 4  # a bracket wider than this is halved in its logarithm
+ALWAYS_S = 1e7  # seconds that stand for an unlimited time
+# Accuracy of the search for the characteristic time, as a fraction of the keys that the cache holds.
+CAPACITY_TOLERANCE = 1e-3
+MAX_ITERATIONS = 40  # largest number of steps in that search
+MIN_TIME_S = 1e-6  # lower bound of the start value of the search
+TINY = 1e-9  # lower bound of a divisor, and of a time in seconds
+MAX_LOG_TIME = 30.0  # bound of the natural logarithm of a time in seconds
+# Ratio of the ends of a bracket above which it is halved on a logarithmic scale.
+WIDE_BRACKET_RATIO = 4
 
 
 def dot_product(one: list[float], other: list[float]) -> float:
-    """The sum of the products of two lists."""
+    """Returns the dot product of two lists."""
     return float(sum(map(mul, one, other)))
 
 
 class ServerKeys:
-    """Keys of one server, in groups of keys that are alike.
+    """Keys of one server, in groups of keys with the same rates.
+
+    Rates are in requests a second for each key of a group.
 
     Attributes:
-        count: Keys of each group.
-        earlier_rate: Requests a second for each key of a group, before the change before this one.
-        rate_before: The same between that change and this one.
-        rate_after: The same after this change.
-        since_earlier_s: Seconds between the two changes; infinity if there was none before.
-        age_s: Seconds since the cache was empty, at this change.
+        count: Number of keys in each group.
+        earlier_rate: Rate before the previous change.
+        rate_before: Rate between the previous change and this one.
+        rate_after: Rate after this change.
+        since_earlier_s: Seconds between the two changes; infinity if there was no previous one.
+        age_s: Seconds between the time at which the cache was empty and this change.
     """
 
     __slots__ = (
@@ -58,14 +60,21 @@
         self.age_s = age_s
 
     def add(self, count: float, earlier: float, before: float, after: float) -> None:
-        """Adds a group of keys with their rates in the three times."""
+        """Adds a group of keys.
+
+        Args:
+            count: Number of keys.
+            earlier: Requests a second for each key before the previous change.
+            before: Requests a second for each key between the two changes.
+            after: Requests a second for each key after this change.
+        """
         self.count.append(count)
         self.earlier_rate.append(earlier)
         self.rate_before.append(before)
         self.rate_after.append(after)
 
     def unchanged(self) -> ServerKeys:
-        """The same keys if this change were not made."""
+        """Returns the same keys with the rates they would have if this change were not made."""
         keys = ServerKeys(self.since_earlier_s, self.age_s)
         keys.count = self.count
         keys.earlier_rate = self.earlier_rate
@@ -73,11 +82,11 @@
         return keys
 
     def absent(self, elapsed_s: float, window_s: float) -> list[float]:
-        """The probability that a key was not requested in the last `window_s` seconds, by group.
+        """Returns the probability, by group, that a key was not requested within a window of time.
 
         Args:
-            elapsed_s: Seconds since the change.
-            window_s: How far back is looked.
+            elapsed_s: End of the window, in seconds since the change.
+            window_s: Length of the window in seconds.
         """
         after_s = min(window_s, elapsed_s)
         past_s = max(0.0, min(window_s - elapsed_s, self.age_s))
@@ -98,7 +107,12 @@
         return [exp(-after * after_s) for after in self.rate_after]
 
     def requested_keys(self, elapsed_s: float, window_s: float) -> float:
-        """How many keys were requested in the last `window_s` seconds."""
+        """Returns the expected number of keys that were requested within a window of time.
+
+        Args:
+            elapsed_s: End of the window, in seconds since the change.
+            window_s: Length of the window in seconds.
+        """
         return sum(self.count) - dot_product(
             self.count, self.absent(elapsed_s, window_s)
         )
@@ -106,23 +120,24 @@
     def characteristic_time(
         self, capacity: float, elapsed_s: float, guess_s: float
     ) -> float:
-        """How long ago the oldest key in the cache was last requested, in seconds.
+        """Returns the cache's characteristic time: how long ago its oldest key was last requested.
 
         Args:
-            capacity: Objects that the cache holds.
+            capacity: Number of objects that the cache holds.
             elapsed_s: Seconds since the change.
-            guess_s: Where the search begins; may be infinite.
+            guess_s: Start value of the search; may be infinite.
 
         Returns:
-            Infinity where all that was ever requested fits in: nothing is ever evicted.
+            The time in seconds; infinity if all keys ever requested fit into the cache, so that none is
+            evicted.
         """
-        longest = min(elapsed_s + self.age_s, ALWAYS_S)
-        if self.requested_keys(elapsed_s, longest) <= capacity:
+        longest_s = min(elapsed_s + self.age_s, ALWAYS_S)
+        if self.requested_keys(elapsed_s, longest_s) <= capacity:
             return inf
         guess_s = (
-            min(max(guess_s, MIN_TIME_S), longest) if guess_s < inf else longest / 2
+            min(max(guess_s, MIN_TIME_S), longest_s) if guess_s < inf else longest_s / 2
         )
-        search = _TimeSearch(capacity, guess_s, longest)
+        search = _TimeSearch(capacity, guess_s, longest_s)
         for _ in range(MAX_ITERATIONS):
             if search.update(self.requested_keys(elapsed_s, search.time_s)):
                 break
@@ -131,45 +146,52 @@
     def hit_ratio(
         self, elapsed_s: float, window_s: float, factors: Sequence[float] | None = None
     ) -> float:
-        """The part of the requests that find their key in the cache.
+        """Returns the fraction of the requests whose key is in the cache.
 
         Args:
             elapsed_s: Seconds since the change.
-            window_s: The characteristic time.
-            factors: What a time to live leaves of each group's hits; None: there is none.
+            window_s: The cache's characteristic time.
+            factors: Fraction of the hits that remains with a time to live, by group (`ttl_hit_factor`); None
+                if objects do not expire.
         """
         rate = dot_product(self.count, self.rate_after)
         if rate <= 0:
             return 0.0
         absent = self.absent(elapsed_s, window_s)
         if factors is None:
-            missed = sum(
+            miss_rate = sum(
                 [
-                    count * after * gone
-                    for count, after, gone in zip(
+                    count * after * missing_probability
+                    for count, after, missing_probability in zip(
                         self.count, self.rate_after, absent, strict=True
                     )
                 ]
             )
-            return 1 - missed / rate
-        found = sum(
+            return 1 - miss_rate / rate
+        hit_rate = sum(
             [
-                count * after * (1 - gone) * factor
-                for count, after, gone, factor in zip(
+                count * after * (1 - missing_probability) * factor
+                for count, after, missing_probability, factor in zip(
                     self.count, self.rate_after, absent, factors, strict=True
                 )
             ]
         )
-        return found / rate
+        return hit_rate / rate
 
 
 class _TimeSearch:
-    """Finds the time in which as many keys were requested as the cache holds.
+    """Finds the time within which as many keys were requested as the cache holds.
 
-    That number against the logarithm of the time is nearly straight: a secant, kept in its bracket.
+    The number of requested keys is nearly linear in the logarithm of the time. The search therefore uses the
+    secant method on that scale and keeps each guess within a bracket.
 
     Attributes:
-        time_s: The time to try next, or the one that was found.
+        capacity: Number of objects that the cache holds.
+        time_s: The time in seconds to try next, or the one that was found.
+        low: Lower end of the bracket in seconds.
+        high: Upper end of the bracket in seconds.
+        last_log_time: Logarithm of the previous time.
+        last_excess: Requested keys less the capacity, at the previous time.
     """
 
     def __init__(self, capacity: float, first_s: float, longest_s: float) -> None:
@@ -179,7 +201,14 @@
         self.last_log_time, self.last_excess = 0.0, 0.0
 
     def update(self, requested: float) -> bool:
-        """Takes the keys requested within `time_s`; returns whether that is near enough."""
+        """Updates the bracket and the next time to try.
+
+        Args:
+            requested: Number of keys requested within `time_s`.
+
+        Returns:
+            Whether `time_s` is accurate enough; it then stays as it is.
+        """
         capacity, time_s = self.capacity, self.time_s
         if abs(requested - capacity) <= CAPACITY_TOLERANCE * capacity:
             return True
@@ -194,7 +223,7 @@
         return False
 
     def _secant(self, log_time: float, excess: float) -> float | None:
-        """The next time by a straight line through this point and the last one; None if there is none."""
+        """Returns where the line through the last two points crosses zero; None if it does not."""
         last_log_time, last_excess = self.last_log_time, self.last_excess
         self.last_log_time, self.last_excess = log_time, excess
         if last_log_time == log_time or not last_excess or not last_excess - excess:
@@ -205,6 +234,7 @@
         return exp(min(max(crossing, -MAX_LOG_TIME), MAX_LOG_TIME))
 
     def _middle(self) -> float:
+        """Returns the middle of the bracket, on a logarithmic scale if the bracket is wide."""
         if self.high > WIDE_BRACKET_RATIO * self.low:
             return sqrt(max(self.low, TINY) * self.high)
         return (self.low + self.high) / 2
--- a/loadbalancer/forecast/server_model.py
+++ b/loadbalancer/forecast/server_model.py
@@ -122,7 +122,7 @@
 
 
 def _octave(fraction: float, lowest_octave: int) -> int:
-    """Returns the octave of a fraction, not below the lowest one that is told apart."""
+    """Returns the octave of a fraction; fractions below the lowest octave count as part of it."""
     return max(lowest_octave, frexp(fraction)[1]) if fraction else NO_REQUESTS_OCTAVE
 
 
--- a/loadbalancer/forecast/shard_router.py
+++ b/loadbalancer/forecast/shard_router.py
@@ -1,7 +1,8 @@
-"""Where a node sends a key's requests while its placement changes, at once or in steps.
+"""Routes a node's requests by key while its placement changes, at once or in steps.
 
-Replicas follow from the members (`rendezvous.ShardPlacement`). While a change is made in steps a shard that
-has not moved keeps the replicas it had, as far as they are members still; every node moves the same shards.
+The replicas of a shard follow from the members (`rendezvous.ShardPlacement`). While a change is made in
+steps, a shard that has not moved yet keeps those of its previous replicas that are still members. Every node
+moves the same shards in the same step.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 
 
 class ShardRouter:
-    """One node's routing of keys.
+    """Maps keys to the replicas that one node uses for them.
 
     Attributes:
-        target: The placement that is to be.
-        previous: The one before, while a change is made in steps.
-        schedule: The steps; may be shared with other routers, and is advanced by the host.
+        target: The placement after the current change.
+        previous: The placement before it, while the change is made in steps.
+        schedule: The steps of the change; may be shared with other routers, and is advanced by its owner.
     """
 
     def __init__(self, table: DrawTable, replica_count: int) -> None:
@@ -44,19 +45,19 @@
         table: DrawTable | None = None,
         replica_count: int = 0,
     ) -> bool:
-        """Changes the members, the table of shards or the number of replicas.
+        """Changes the members, the servers' draws or the number of replicas.
 
-        While a change is still being made in steps, what has not moved yet stays where it was before that
-        one.
+        If the previous change is still being made in steps, shards that it has not moved yet stay where they
+        were before it.
 
         Args:
-            members: All of them.
-            schedule: The steps; None: at once.
-            table: None: as it is.
-            replica_count: 0: as it is.
+            members: Names and weights of all members.
+            schedule: The steps of the change; None to make it at once.
+            table: The servers' draws, which also set the number of shards; None to keep the present ones.
+            replica_count: Replicas of a shard; 0 to keep the present number.
 
         Returns:
-            Whether anything differs.
+            Whether the placement differs from the previous one.
         """
         table = table or self.target.table
         replica_count = replica_count or self.target.replica_count
@@ -85,7 +86,13 @@
         )
 
     def replicas_of(self, position: int) -> tuple[int, ...]:
-        """Indexes of the members that hold a key now, the best first. On the request path."""
+        """Returns the indexes of the members that hold a key at present, the best first.
+
+        Called on the request path.
+
+        Args:
+            position: The key's position (`rendezvous.key_position`).
+        """
         shard = shard_of(position, self.target.table.shard_count)
         if self.previous is not None and self.schedule is not None:
             if not self.is_migrating():
@@ -93,9 +100,9 @@
             elif not shard_has_moved(
                 shard, self.schedule.steps, self.schedule.steps_done
             ):
-                staying = self._previous_replicas(self.previous, position)
-                if staying:
-                    return staying
+                remaining = self._previous_replicas(self.previous, position)
+                if remaining:
+                    return remaining
         return self.target.replicas_of(shard)
 
     def _end_migration(self) -> None:
@@ -104,7 +111,7 @@
     def _previous_replicas(
         self, previous: ShardPlacement, position: int
     ) -> tuple[int, ...]:
-        """The replicas before the change that are members still."""
+        """Returns those replicas of a key before the change that are still members."""
         shard = shard_of(position, previous.table.shard_count)
         names = (previous.members[index][0] for index in previous.replicas_of(shard))
         return tuple(self._index_of[name] for name in names if name in self._index_of)
--- a/loadbalancer/forecast/sliced_work.py
+++ b/loadbalancer/forecast/sliced_work.py
@@ -1,4 +1,4 @@
-"""Work that is done in slices of a few milliseconds, so that a node can handle requests in between."""
+"""Long computations in slices of a few milliseconds, so that a node can handle requests in between."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 Result = TypeVar("Result")
 
-# Yields where it may be paused; its return value is the result.
+# A generator that yields wherever it may be paused, and returns the result.
 SlicedWork = Generator[None, None, Result]
 
 
 def run_to_end(work: SlicedWork[Result]) -> Result:
-    """Does all slices at once and returns the result."""
+    """Runs all slices without a pause and returns the result."""
     while True:
         try:
             next(work)
--- a/loadbalancer/forecast/subsets.py
+++ b/loadbalancer/forecast/subsets.py
@@ -1,7 +1,8 @@
-"""Which servers each node uses, and so what each server gets, worked out for the whole fleet.
+"""Computes which servers each node of the fleet uses, and the traffic that each server receives.
 
-Every node follows the same rule: it takes its slice of one order of the servers
-(`policy.subset.subset_slice`), by its ring position and its subset's size, both of which the others know.
+Every node follows the same rule: its subset is a slice of one order of the servers
+(`policy.subset.subset_slice`). The slice follows from the node's ring position and the size of its subset,
+both of which the other nodes know.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
     subset_slice,
 )
 
-SLICE_ENTRIES = 100  # endpoints listed in a slice
-SLICE_SUBSETS = 16  # different subsets found in a slice
+SLICE_ENTRIES = 100  # endpoints added to the list in a slice
+SLICE_SUBSETS = 16  # different subsets computed in a slice
 
 
 @dataclass(frozen=True)
@@ -30,10 +31,10 @@
     """What is known of one node.
 
     Attributes:
-        index: Its ring position: its index among the nodes, from 0.
-        count: How many nodes there are.
-        subset_size: Servers that it wants in its subset.
-        rate: Requests with keys that it sends a second.
+        index: The node's ring position: its index among the nodes, from 0.
+        count: Number of nodes.
+        subset_size: Number of servers that the node wants in its subset.
+        rate: Requests with keys that the node sends, in requests a second.
     """
 
     index: int
@@ -48,7 +49,7 @@
 
     Attributes:
         table: The servers' draws, by shard.
-        replica_count: Replicas of a shard among the members of a node.
+        replica_count: Replicas of a shard among the members of a node's subset.
     """
 
     table: DrawTable
@@ -58,12 +59,12 @@
 def node_subsets(
     entries: Sequence[EndpointEntry], nodes: Sequence[NodeInfo], by_zone: bool = False
 ) -> SlicedWork[list[NodeSubset]]:
-    """Each node's subset, by the indices of its servers in `entries`.
+    """Computes each node's subset, as the indexes of its servers in `entries`.
 
     Args:
         entries: The ready endpoints.
         nodes: All nodes.
-        by_zone: Whether a node takes a slice of each zone instead of one of all endpoints.
+        by_zone: Whether a subset consists of a slice of each zone instead of one slice of all endpoints.
     """
     endpoint_list = EndpointList(by_zone, frozenset())
     endpoint_list.start_full_list()
@@ -73,21 +74,22 @@
             yield
     endpoint_list.finish_full_list()
     entry_index = {entry.endpoint: index for index, entry in enumerate(entries)}
-    known: dict[tuple[int, int, int], tuple[int, ...]] = {}
+    members_by_key: dict[tuple[int, int, int], tuple[int, ...]] = {}
     subsets = []
     for node in nodes:
         key = (node.index, node.count, node.subset_size)
-        if key not in known:
-            known[key] = _members(endpoint_list, entry_index, node)
-            if len(known) % SLICE_SUBSETS == 0:
+        if key not in members_by_key:
+            members_by_key[key] = _members(endpoint_list, entry_index, node)
+            if len(members_by_key) % SLICE_SUBSETS == 0:
                 yield
-        subsets.append(NodeSubset(known[key], node.rate))
+        subsets.append(NodeSubset(members_by_key[key], node.rate))
     return subsets
 
 
 def _members(
     endpoint_list: EndpointList, entry_index: dict[int, int], node: NodeInfo
 ) -> tuple[int, ...]:
+    """Returns the indexes of the servers in one node's subset."""
     members: list[int] = []
     for _, kinds in sorted(endpoint_list.orders.items()):
         total = sum(map(len, kinds.values()))
@@ -98,20 +100,20 @@
 
 
 def subset_size(servers: int, nodes: int, wanted: int, least: int = 0) -> int:
-    """How many servers a node uses: as many as it wants, or as it has to.
+    """Returns how many servers a node uses: the number that it wants, or more so that all servers are used.
 
     The rule is that of `policy.subset.Subset.size_of`.
 
     Args:
-        servers: How many there are.
-        nodes: How many nodes share them.
-        wanted: How many the node wants.
-        least: Lower bound where servers are many more than nodes.
+        servers: Number of servers.
+        nodes: Number of nodes that share them.
+        wanted: Number of servers that the node wants.
+        least: Lower bound where there are many more servers than nodes.
     """
-    fair_part = -(-servers // max(1, nodes))
-    if fair_part > SUBSET_MOST:
-        return min(SUBSET_BOUND, max(fair_part, least))
-    return servers if servers < 2 * SUBSET_LEAST else max(wanted, fair_part)
+    fair_share = -(-servers // max(1, nodes))
+    if fair_share > SUBSET_MOST:
+        return min(SUBSET_BOUND, max(fair_share, least))
+    return servers if servers < 2 * SUBSET_LEAST else max(wanted, fair_share)
 
 
 def fleet_traffic(
@@ -121,14 +123,14 @@
     placement: PlacementParameters,
     by_zone: bool,
 ) -> SlicedWork[ShardTraffic]:
-    """Who gets what part of each shard's requests.
+    """Computes which server receives which fraction of each shard's requests.
 
     Args:
         entries: All servers, in the order of the result.
-        used: Those of them that get requests.
+        used: Those of them that receive requests.
         nodes: All nodes.
         placement: How shards are placed.
-        by_zone: As `node_subsets` has it.
+        by_zone: As in `node_subsets`.
     """
     subsets = yield from node_subsets(used, nodes, by_zone)
     members = [(str(entry.endpoint), entry.weight) for entry in used]
--- a/loadbalancer/forecast/typical_server.py
+++ b/loadbalancer/forecast/typical_server.py
@@ -1,7 +1,7 @@
-"""A server that is like all servers together, with nothing changing.
+"""Models a server that is typical of all servers together, while no placement changes.
 
-By it the size of caches is fitted to the hit ratio that answers report, and the error of a hit ratio that
-the sample's size makes is estimated.
+The model is used to fit the size of caches to the hit ratio that answers report, and to estimate the error
+of a hit ratio that the size of the key sample causes.
 """
 
 from __future__ import annotations
@@ -17,21 +17,24 @@
 from loadbalancer.forecast.shard_traffic import ShardTraffic
 from loadbalancer.forecast.sliced_work import SlicedWork
 
-MAX_SERVERS_EXAMINED = 100
-MIN_JACKKNIFE_TAILS = 2
-UNKNOWN_SAMPLING_ERROR = 0.1  # of a hit ratio, where it cannot be estimated
-SQRT_HALF = 0.7071
-SHORTEST_TIME_S = 1e-6
-BISECTIONS = 60
-FIRST_GUESS_S = 1.0
+MAX_SERVERS_EXAMINED = 100  # upper bound of the servers whose fractions are averaged
+MIN_JACKKNIFE_TAILS = 2  # estimates of the tail that a standard error needs
+# Standard error assumed for a hit ratio where it cannot be estimated.
+UNKNOWN_SAMPLING_ERROR = 0.1
+SQRT_HALF = 0.7071  # divides an octave of mantissas (0.5 to 1) into halves
+SHORTEST_TIME_S = (
+    1e-6  # lower end of the search for the characteristic time, in seconds
+)
+BISECTIONS = 60  # iterations of the search for the characteristic time
+FIRST_GUESS_S = 1.0  # start value of the search for the characteristic time, in seconds
 
 
 class ShardFractions(NamedTuple):
-    """Shards of which a server gets about the same part.
+    """Shards of which a server receives about the same fraction of requests.
 
     Attributes:
-        shards: How many, of a server on average.
-        fraction: The mean part of such a shard's requests.
+        shards: Mean number of such shards on a server.
+        fraction: Mean fraction of such a shard's requests that the server receives.
     """
 
     shards: float
@@ -39,7 +42,12 @@
 
 
 def sampling_error(change: PlacementChange, shard_count: int) -> SlicedWork[float]:
-    """The standard error of a hit ratio that the sample's size makes: the jackknife."""
+    """Estimates the standard error of a hit ratio that the size of the key sample causes, by the jackknife.
+
+    Args:
+        change: The change, with the popularity of one shard (`Popularity.per_shard`).
+        shard_count: Number of shards.
+    """
     caches = [
         server.cache
         for server, by_shard in zip(change.servers, change.after.fractions, strict=True)
@@ -52,22 +60,32 @@
     yield
     fractions = _typical_fractions(change.after)
     yield
-    found = []
+    hit_ratios = []
     for tail in tails:
         keys = _typical_keys(tail, change.popularity.top, fractions, shard_count)
         window_s = keys.characteristic_time(capacity, ALWAYS_S, FIRST_GUESS_S)
-        found.append(keys.hit_ratio(ALWAYS_S, window_s))
+        hit_ratios.append(keys.hit_ratio(ALWAYS_S, window_s))
         yield
-    mean, count = sum(found) / len(found), len(found)
-    return sqrt((count - 1) / count * sum((ratio - mean) ** 2 for ratio in found))
+    mean, count = sum(hit_ratios) / len(hit_ratios), len(hit_ratios)
+    return sqrt((count - 1) / count * sum((ratio - mean) ** 2 for ratio in hit_ratios))
 
 
 def fitted_capacity(
     popularity: Popularity, traffic: ShardTraffic, hit_ratio: float, shard_count: int
 ) -> float:
-    """How many objects a cache must hold for a hit ratio, all servers alike and nothing changing.
+    """Returns how many objects a cache must hold to reach a hit ratio.
+
+    All servers are assumed to be alike and no placement to change. The hit ratio that answers report thus
+    yields the size of caches where operators do not configure it.
+
+    Args:
+        popularity: Request rates of keys, by the nodes that reported.
+        traffic: The present traffic of the servers.
+        hit_ratio: The hit ratio to reach.
+        shard_count: Number of shards.
 
-    The hit ratio that answers report so tells the size where operators do not.
+    Returns:
+        The number of objects; 0 if popularity or traffic is not known.
     """
     if not popularity.is_known or not any(traffic.fractions):
         return 0.0
@@ -88,18 +106,18 @@
 
 
 def _typical_fractions(traffic: ShardTraffic) -> list[ShardFractions]:
-    """The parts of shards that a server gets on average, those of about the same size together."""
-    used = [by_shard for by_shard in traffic.fractions if by_shard]
-    used = used[:: len(used) // MAX_SERVERS_EXAMINED + 1]
+    """Returns the fractions of shards that a server receives on average, grouped by octave."""
+    used_servers = [by_shard for by_shard in traffic.fractions if by_shard]
+    used_servers = used_servers[:: len(used_servers) // MAX_SERVERS_EXAMINED + 1]
     groups: dict[int, list[float]] = {}
-    for by_shard in used:
+    for by_shard in used_servers:
         for fraction in by_shard.values():
             _, octave = frexp(fraction)
             group = groups.setdefault(octave, [0.0, 0.0])
             group[0] += 1
             group[1] += fraction
     return [
-        ShardFractions(shards / len(used), total / shards)
+        ShardFractions(shards / len(used_servers), total / shards)
         for shards, total in groups.values()
     ]
 
@@ -110,13 +128,13 @@
     fractions: Sequence[ShardFractions],
     shard_count: int,
 ) -> ServerKeys:
-    """The keys of the typical server.
+    """Returns the keys of the typical server.
 
     Args:
-        tail: Of one shard.
+        tail: All other keys of one shard, in groups of the same rate.
         top: The most requested keys of all shards.
-        fractions: The shards that the server gets a part of.
-        shard_count: How many shards there are.
+        fractions: The fractions of shards that the server receives.
+        shard_count: Number of shards.
     """
     groups: dict[int, list[float]] = {}
     for key in top:
@@ -134,5 +152,6 @@
 
 
 def _half_octave(rate: float) -> int:
+    """Returns the number of the half octave in which a rate lies."""
     mantissa, exponent = frexp(rate)
     return 2 * exponent + (mantissa > SQRT_HALF)
