--- a/loadbalancer/forecast/key_records.py
+++ b/loadbalancer/forecast/key_records.py
@@ -175,6 +175,7 @@
 
 
 def _append_varint(number: int, encoded: bytearray) -> None:
+    """Appends an integer of variable length, its lowest bits first."""
     while number > VARINT_PAYLOAD_MASK:
         encoded.append(number & VARINT_PAYLOAD_MASK | VARINT_CONTINUES)
         number >>= VARINT_PAYLOAD_BITS
--- a/loadbalancer/forecast/migration.py
+++ b/loadbalancer/forecast/migration.py
@@ -90,7 +90,7 @@
         if steps <= rules.max_steps:
             return MigrationPlan(steps, pause_s, reason)
     if deferred_s >= rules.max_deferral_s:
-        reason = f"{reason}; waited for {deferred_s:.0f} s, the longest allowed"
+        reason = f"{reason}; deferred for {deferred_s:.0f} s, the longest allowed"
         return MigrationPlan(rules.max_steps, pause_s, reason)
     return MigrationPlan(0, rules.review_s, reason)
 
--- a/loadbalancer/forecast/server_keys.py
+++ b/loadbalancer/forecast/server_keys.py
@@ -15,17 +15,17 @@
 ALWAYS_S = 1e7  # seconds that stand for an unlimited time
 # Accuracy of the search for the characteristic time, as a fraction of the keys that the cache holds.
 CAPACITY_TOLERANCE = 1e-3
-MAX_ITERATIONS = 40  # largest number of steps in that search
-MIN_TIME_S = 1e-6  # lower bound of the start value of the search
+MAX_ITERATIONS = 40  # largest number of steps of the search
+MIN_TIME_S = 1e-6  # lower bound of the search's start value, in seconds
 TINY = 1e-9  # lower bound of a divisor, and of a time in seconds
 MAX_LOG_TIME = 30.0  # bound of the natural logarithm of a time in seconds
 # Ratio of the ends of a bracket above which it is halved on a logarithmic scale.
 WIDE_BRACKET_RATIO = 4
 
 
-def dot_product(one: list[float], other: list[float]) -> float:
-    """Returns the dot product of two lists."""
-    return float(sum(map(mul, one, other)))
+def dot_product(first: list[float], second: list[float]) -> float:
+    """Returns the dot product of two lists of the same length."""
+    return float(sum(map(mul, first, second)))
 
 
 class ServerKeys:
--- a/loadbalancer/forecast/typical_server.py
+++ b/loadbalancer/forecast/typical_server.py
@@ -22,9 +22,8 @@
 # Standard error assumed for a hit ratio where it cannot be estimated.
 UNKNOWN_SAMPLING_ERROR = 0.1
 SQRT_HALF = 0.7071  # divides an octave of mantissas (0.5 to 1) into halves
-SHORTEST_TIME_S = (
-    1e-6  # lower end of the search for the characteristic time, in seconds
-)
+# Lower end of the search for the characteristic time, in seconds.
+SHORTEST_TIME_S = 1e-6
 BISECTIONS = 60  # iterations of the search for the characteristic time
 FIRST_GUESS_S = 1.0  # start value of the search for the characteristic time, in seconds
 
