--- a/loadbalancer/node/features/endpoint_lines.py
+++ b/loadbalancer/node/features/endpoint_lines.py
@@ -1,6 +1,6 @@
-"""Exchange of endpoint lists: from peers' audits, part by part, or from another agent of discovery.
+"""Transfers endpoint lists: fetches them from peers' audits in parts or from another discovery agent.
 
-Nothing is used that does not have the digest which a quorum holds.
+A fetched list is used only if its digest is the one that a quorum holds.
 """
 
 from __future__ import annotations
@@ -28,26 +28,33 @@
 SEND_RATE_BYTES_PER_S = 256_000  # to all outdated peers together
 SEND_BURST_BYTES = SEND_RATE_BYTES_PER_S / 4
 MAX_AGENT_RESPONSE_BYTES = 1 << 20
-AGENT_PART_LINES = 50  # of an agent's response, read in one go
-PART_RETRY_US = 150_000  # after which parts that have not come are requested again
+AGENT_PART_LINES = (
+    50  # lines of an agent's response that are read without yielding to the event loop
+)
+PART_RETRY_US = 150_000  # wait before parts that have not arrived are requested again
 US_PER_S = 1e6
 LIST_PATH = "/v1/endpoints"
 
 
 class ListSource(StrEnum):
-    """Who sent a list; the values are published."""
+    """The kind of sender of a list; the values are published."""
 
     PEER = "by_peers"
     AGENT = "by_agent"
 
 
-# The version, its lines, the member's name or the agent's address, and which of the two it is.
+# Called with the version, its lines, the sender (a member's name or an agent's address) and its kind.
 OnList = Callable[[VersionId, list[Line], str, ListSource], None]
 
 
 @dataclass(frozen=True, slots=True)
 class SplitList:
-    """An endpoint list in parts that fit into datagrams; an empty list is one empty part."""
+    """An endpoint list in parts that fit into datagrams.
+
+    Attributes:
+        version: The list's version.
+        parts: The rows of each part; an empty list is one empty part.
+    """
 
     version: VersionId
     parts: list[tuple[EndpointRow, ...]]
@@ -55,13 +62,18 @@
 
 @dataclass(slots=True)
 class SendBudget:
-    """Bytes that may be sent, refilled at `SEND_RATE_BYTES_PER_S` up to `SEND_BURST_BYTES`."""
+    """A token bucket of bytes, refilled at `SEND_RATE_BYTES_PER_S` up to `SEND_BURST_BYTES`.
+
+    Attributes:
+        available: Bytes that may be sent now.
+        as_of_us: Time of the last refill, in microseconds.
+    """
 
     available: float = 0.0
     as_of_us: int = 0
 
     def refill(self, now_us: int) -> None:
-        """Adds what has become available since the last call."""
+        """Adds the bytes that have become available since the last call."""
         elapsed_us = now_us - self.as_of_us
         refilled = self.available + elapsed_us * SEND_RATE_BYTES_PER_S / US_PER_S
         self.available = min(SEND_BURST_BYTES, refilled)
@@ -72,24 +84,23 @@
     """Fetches endpoint lists from peers and agents, and sends this node's own to peers.
 
     Attributes:
-        channel: To the audits of other nodes, once there is one.
-        parts_sent: Parts sent to peers so far.
+        channel: The channel to the audits of other nodes; None until it is open.
+        parts_sent: Number of parts sent to peers so far.
     """
 
     def __init__(self, host: FeatureHost, on_list: OnList) -> None:
-        """Begins with nothing to fetch.
+        """Creates an exchange without any transfer.
 
         Args:
             host: The feature's host.
-            on_list: Called with each list that has the right digest.
+            on_list: Called with each fetched list whose digest is the expected one.
         """
         self.host = host
         self.channel: Transport | None = None
         self.parts_sent = 0
         self._on_list = on_list
-        self._collector: PartCollector | None = (
-            None  # while a list is fetched from peers
-        )
+        # Collects the list that is being fetched from peers; None if there is none.
+        self._collector: PartCollector | None = None
         self._peer = ""
         self._requested_at_us = 0
         self._requested_parts: tuple[int, ...] = ()
@@ -99,7 +110,7 @@
         self._budget = SendBudget()
 
     def stop(self) -> None:
-        """Nothing more is fetched or sent."""
+        """Cancels all transfers and closes the channel."""
         if self._call is not None:
             self._call.end()
         for task in self._tasks:
@@ -108,20 +119,20 @@
             self.channel.close()
 
     def cancel_fetch(self) -> None:
-        """The list that is being fetched from peers is not wanted any more."""
+        """Cancels the fetch from peers, if there is one."""
         self._collector = None
 
-    # ---- from peers -----------------------------------------------------------------------------------
+    # ---- lists from peers -----------------------------------------------------------------------------
 
     def fetch_from_peer(self, peer: str, version: VersionId) -> None:
-        """Requests from a peer what is still missing of a version."""
+        """Requests the missing parts of a version from a peer."""
         if self._collector is None or self._collector.target != version:
             self._collector = PartCollector(version)
         self._peer = peer
         self._request_parts(self.host.now())
 
     def on_part(self, message: EndpointPart) -> None:
-        """A peer has sent a part."""
+        """Handles a part from a peer; passes the list on, or requests further parts if it is incomplete."""
         collector = self._collector
         if collector is None:
             return
@@ -135,7 +146,7 @@
             self._request_parts(self.host.now())
 
     def _request_parts(self, now_us: int) -> None:
-        """Requests missing parts from the present peer."""
+        """Requests missing parts from the current peer."""
         address = self.host.member_address(self._peer)
         if self._collector is None or address is None or self.channel is None:
             return
@@ -145,12 +156,12 @@
         self.channel.send(endpoint_transfer.encode(request), address)
 
     def retry_missing_parts(self, now_us: int) -> None:
-        """Requests again parts that were lost."""
+        """Requests missing parts again, if the last request is older than `PART_RETRY_US`."""
         is_due = now_us - self._requested_at_us >= PART_RETRY_US
         if self._collector is not None and is_due:
             self._request_parts(now_us)
 
-    # ---- to peers -------------------------------------------------------------------------------------
+    # ---- the own list, to peers -----------------------------------------------------------------------
 
     def send_parts(
         self,
@@ -162,10 +173,10 @@
         """Sends parts of the list as this node's own discovery sent it, within the byte budget.
 
         Args:
-            request: What the peer lacks.
-            peer: Where it receives datagrams.
-            own_version: The version of the own list; no other one is sent.
-            own_lines: The lines of the own list, by the endpoints' names.
+            request: The version and the parts that the peer requests.
+            peer: The peer's address.
+            own_version: The version of this node's own list; other versions are not sent.
+            own_lines: The lines of the own list, by endpoint name.
         """
         is_sendable = len(own_lines) <= endpoint_transfer.MAX_ENDPOINTS
         if request.target != own_version or not is_sendable or self.channel is None:
@@ -187,21 +198,28 @@
     def _own_parts(
         self, version: VersionId, lines: dict[str, Line], max_bytes: int
     ) -> list[tuple[EndpointRow, ...]]:
-        """The own list in parts, split once for each version."""
+        """Returns the parts of the own list, which is split once for each version."""
         if self._split is None or self._split.version != version:
             rows = (row_of(line) for line in lines.values())
             parts = endpoint_transfer.split_rows(rows, max_bytes)
             self._split = SplitList(version, parts or [()])
         return self._split.parts
 
-    # ---- from another agent ---------------------------------------------------------------------------
+    # ---- lists from another agent ---------------------------------------------------------------------
 
     def fetch_from_agent(self, agent: Address, version: VersionId) -> None:
-        """Fetches the list of another agent; it counts only if it is the content that a quorum holds."""
+        """Fetches the list of another discovery agent.
+
+        The list is used only if its content is the one that a quorum holds.
+
+        Args:
+            agent: The agent's address.
+            version: The version that a quorum holds.
+        """
         if self._call is not None:
             self._call.end()
 
-        def on_answer(call: DiscoveryCall, body: bytearray | None) -> None:
+        def on_response(call: DiscoveryCall, body: bytearray | None) -> None:
             call.end()
             if body is None or len(body) > MAX_AGENT_RESPONSE_BYTES:
                 return
@@ -213,14 +231,16 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-        # A call that is late is given up: a further agent can be asked.
-        self._call = DiscoveryCall(self.host.loop, agent, on_answer, DiscoveryCall.fail)
+        # A call that times out fails, so that another agent can be queried.
+        self._call = DiscoveryCall(
+            self.host.loop, agent, on_response, DiscoveryCall.fail
+        )
         self._call.request(LIST_PATH, 0.0)
 
     async def _read_agent(
         self, body: bytes, version: VersionId, agent: Address
     ) -> None:
-        """Reads an agent's list in parts, so that requests are served in between."""
+        """Reads an agent's list in parts, so that the event loop serves requests in between."""
         lines: list[Line] = []
         try:
             listing = LongListing(body)
@@ -241,7 +261,7 @@
     def _check(
         self, version: VersionId, lines: list[Line], sender: str, source: ListSource
     ) -> None:
-        """Passes a list on if its content is what a quorum holds."""
+        """Passes a list to `on_list` if it has the digest that a quorum holds; otherwise logs a rejection."""
         known = KnownEndpoints()
         listing = Listing(ListUpdateKind.FULL, version.number, tuple(lines))
         known.update(listing, version.origin, False)
@@ -251,12 +271,12 @@
             self.host.log_event(
                 "audit endpoints rejected",
                 source=sender,
-                reason=f"their digest is not {version.digest}",
+                reason=f"the list does not have the digest that a quorum holds, {version.digest}",
             )
 
 
 def row_of(line: Line) -> EndpointRow:
-    """A line as peers send it to each other."""
+    """Returns a line as the row that is sent to peers."""
     return EndpointRow(
         line.id,
         line.host,
@@ -271,7 +291,7 @@
 
 
 def line_of(row: EndpointRow) -> Line:
-    """A peer's row as a line; an unknown state counts as draining, as in discovery's own lists."""
+    """Returns a row from a peer as a line; an unknown state becomes draining, as in lists from discovery."""
     state = EndpointState.__members__.get(row.state, EndpointState.DRAINING)
     return Line(
         row.id,
--- a/loadbalancer/node/features/known_endpoints.py
+++ b/loadbalancer/node/features/known_endpoints.py
@@ -1,9 +1,9 @@
-"""The endpoint list as this node's own discovery sent it, and what peers may add to it.
+"""Tracks the endpoint list that this node's own discovery sent, and merges lines from peers into it.
 
-Kept while a feature follows the list: the names behind the numbers, one digest of the whole list that any
-node with the same content has as well, and the lines that were merged from peers. Peers are believed in the
-safe direction only: an endpoint drains or departs, or one that the node has never heard of comes, as warming
-up.
+The list is tracked while a feature subscribes to list updates. It maps endpoint numbers to names, computes a
+digest of the complete list (nodes with the same content compute the same digest), and holds the lines that
+were merged from peers. Lines from peers are accepted in the safe direction only: an endpoint starts to drain
+or departs, or an endpoint that this node has never listed is added as warming up.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 from loadbalancer.node.numbering import number_of
 from loadbalancer.policy.api import EndpointState, ListUpdateKind
 
-# Of departed endpoints, and of lines that wait; the oldest are forgotten.
+# Limit on departed endpoints, and on lines from peers that wait for the end of a full list; the oldest
+# are dropped first.
 MAX_REMEMBERED = 20_000
 DIGEST_BYTES = 8
 DIGEST_MASK = (1 << 64) - 1
-# Peers move an endpoint up this order alone.
+# A line from a peer can only move an endpoint to a state of higher rank.
 SAFE_ORDER = {
     EndpointState.READY: 0,
     EndpointState.DRAINING: 1,
@@ -29,9 +30,9 @@
 
 
 def line_digest(line: Line) -> int:
-    """A line's part of the list's digest, 64 bits.
+    """Returns the 64-bit digest of one line; the list's digest is the sum over its lines.
 
-    It leaves the address out: a node behind a relay is sent another one.
+    The address is left out, because a node behind a relay receives a different one.
     """
     content = (
         line.id,
@@ -48,12 +49,12 @@
 
 @dataclass(slots=True)
 class KnownEndpoint:
-    """What is kept of an endpoint that is listed.
+    """The tracked properties of a listed endpoint.
 
     Attributes:
-        digest: Its part of the list's digest.
-        state: Its state, as the own discovery sent it.
-        started: When its process started, in microseconds of Unix time.
+        digest: The digest of its line, 64 bits.
+        state: Its state according to this node's own discovery.
+        started: Start time of its process, in microseconds of Unix time.
     """
 
     digest: int
@@ -62,74 +63,76 @@
 
 
 class KnownEndpoints:
-    """The endpoint list of the own discovery, by the endpoints' numbers.
+    """The endpoint list of this node's own discovery, keyed by endpoint number.
 
     Attributes:
-        origin: The discovery that sent it, `host:port`.
-        version: Its version there.
-        names: Names of the endpoints, also of those that departed a while ago.
+        origin: Address of the discovery that sent the list, `host:port`.
+        version: Version number that this discovery gave the list.
+        names: Endpoint names by number, including up to `MAX_REMEMBERED` departed endpoints.
     """
 
     def __init__(self, midway: bool = False) -> None:
-        """Begins without a list.
+        """Creates an empty list.
 
         Args:
-            midway: Whether a whole list is being sent whose beginning was not seen.
+            midway: Whether discovery is in the middle of sending a full list, whose first part was missed.
         """
         self.origin = ""
         self.version = 0
         self.names: dict[int, str] = {}
         self._midway = midway
-        # Whether a whole list was seen: what is not in it is unknown then.
+        # Whether a full list was received, so that an endpoint that is not listed is known to be unknown.
         self._is_complete = False
         self._listed: dict[int, KnownEndpoint] = {}
-        self._digest_sum = 0  # so the order of the lines does not matter
-        self._departed: dict[int, None] = {}  # in the order of their departure
-        # Of a whole list that is being sent in parts: what it named so far...
+        self._digest_sum = 0  # a sum, so that the order of the lines does not matter
+        self._departed: dict[int, None] = {}  # in order of departure
+        # Endpoints that the full list in transfer has named so far; None if there is no transfer.
         self._named: set[int] | None = None
-        self._newer: set[int] = set()  # ...and what changes named meanwhile
-        # Lines of peers, until the own discovery sends a newer version than this one.
+        # Endpoints that incremental changes named during the transfer.
+        self._newer: set[int] = set()
+        # Lines from peers. They hold until the own discovery sends a version above `_merged_at_version`.
         self._merged: dict[int, Line] = {}
         self._merged_at_version = 0
-        # Lines of peers that wait for the end of a whole list.
+        # Lines from peers that wait for the end of a full list.
         self._deferred: tuple[Line, ...] = ()
 
     def digest(self) -> str:
-        """The digest of the list in force, 16 hex digits; empty while it is not complete."""
-        is_whole = self._is_complete and self._named is None
-        return f"{self._digest_sum:016x}" if is_whole else ""
+        """Returns the digest of the current list, 16 hex digits; empty while the list is incomplete."""
+        is_complete = self._is_complete and self._named is None
+        return f"{self._digest_sum:016x}" if is_complete else ""
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a whole list is being sent, of which further parts follow."""
+        """Whether a full list is in transfer and further parts of it follow."""
         return self._named is not None
 
-    # ---- from the own discovery ------------------------------------------------------------------------
+    # ---- updates from the own discovery ----------------------------------------------------------------
 
     def update(self, listing: Listing, origin: str, more: bool) -> None:
-        """Notes an update of the own discovery.
+        """Applies an update from the own discovery.
 
         Args:
             listing: The update.
-            origin: The discovery that sent it.
+            origin: Address of the discovery that sent it, `host:port`.
             more: Whether further parts of a long list follow.
         """
         self.origin, self.version = origin, listing.version
         is_changes = listing.kind == ListUpdateKind.CHANGES
-        is_whole = not is_changes and not self._midway
-        # Failure prevented: half a list is taken for the whole, and what stood in the rest for unknown.
+        is_full = not is_changes and not self._midway
+        # Prevents the second half of a full list from passing as the complete list, which would make the
+        # endpoints of the first half unknown.
         self._midway = self._midway and (is_changes or more)
-        if is_whole and self._named is None:
+        if is_full and self._named is None:
             self._named, self._newer = set(), set()
         for line in listing.lines:
-            self._update_line(line, is_whole=is_whole)
-        if is_whole and not more:
-            self._finish_whole_list()
+            self._update_line(line, is_full=is_full)
+        if is_full and not more:
+            self._finish_full_list()
 
-    def _update_line(self, line: Line, *, is_whole: bool) -> None:
+    def _update_line(self, line: Line, *, is_full: bool) -> None:
         number = number_of(line.id)
         if self._named is not None:
-            if not is_whole:
+            if not is_full:
                 self._newer.add(number)
             elif number in self._newer:
                 return
@@ -137,17 +140,17 @@
                 self._named.add(number)
         self._put(number, line)
 
-    def _finish_whole_list(self) -> None:
-        """Drops what neither the whole list nor a change meanwhile has named."""
+    def _finish_full_list(self) -> None:
+        """Removes endpoints that neither the full list nor a change during its transfer has named."""
         if self._named is None:
             return
         for number in self._listed.keys() - self._named - self._newer:
-            self._drop(number)
+            self._remove(number)
         self._named, self._is_complete = None, True
 
     def _put(self, number: int, line: Line) -> None:
         if line.state == EndpointState.GONE:
-            self._drop(number)
+            self._remove(number)
             return
         self.names[number] = line.id
         digest = line_digest(line)
@@ -157,8 +160,8 @@
         self._listed[number] = KnownEndpoint(digest, line.state, line.started)
         self._departed.pop(number, None)
 
-    def _drop(self, number: int) -> None:
-        """Notes that an endpoint has departed; its name is kept for attempts that are still out."""
+    def _remove(self, number: int) -> None:
+        """Marks an endpoint as departed; its name is kept for attempts that are still in flight."""
         last = self._listed.pop(number, None)
         if last is not None:
             self._digest_sum = (self._digest_sum - last.digest) & DIGEST_MASK
@@ -169,11 +172,17 @@
             del self._departed[oldest]
             self.names.pop(oldest, None)
 
-    def amended(self, listing: Listing, origin: str, more: bool) -> Listing:
-        """An update of the own discovery, with peers' lines put in where they still hold.
+    def amend(self, listing: Listing, origin: str, more: bool) -> Listing:
+        """Returns an update of the own discovery with the lines from peers that are still valid merged in.
 
-        Failure prevented: an agent that repeats an old list for ever undoes each drain that peers have told.
-        Once the own discovery sends a newer version, or another one is asked, its lines alone hold.
+        Without this, an agent that keeps repeating an old list would undo every drain that peers reported.
+        The lines from peers are discarded when the own discovery sends a newer version, or when this node
+        changes to another discovery.
+
+        Args:
+            listing: The update, before it is passed to `update`.
+            origin: Address of the discovery that sent it, `host:port`.
+            more: Whether further parts of a long list follow.
         """
         if not self._merged:
             return listing
@@ -192,19 +201,20 @@
             ]
         return replace(listing, lines=tuple(lines))
 
-    # ---- from peers ------------------------------------------------------------------------------------
+    # ---- lines from peers ------------------------------------------------------------------------------
 
     def merge(self, lines: Iterable[Line], origin: str, now: int) -> tuple[Line, ...]:
-        """Takes lines of peers.
+        """Merges lines from peers into the list.
 
         Args:
-            lines: What peers hold.
-            origin: The discovery that this node asks.
+            lines: Lines of the peers' lists.
+            origin: Address of the discovery that this node uses, `host:port`.
             now: Unix time in microseconds.
 
         Returns:
-            The lines that are to be applied: drains and departures, and endpoints that were never heard of,
-            as started now. None while the own discovery is sending a whole list; they are deferred then.
+            The lines that the node has to apply: drains, departures, and endpoints that were never listed
+            before, with `now` as their start time. Empty while the own discovery is sending a full list;
+            the lines are deferred until its end.
         """
         if self._named is not None:
             self._deferred = (*self._deferred, *lines)[-MAX_REMEMBERED:]
@@ -212,10 +222,11 @@
         applied = []
         for line in lines:
             number = number_of(line.id)
-            accepted = self._accepted(number, line, origin, now)
+            accepted = self._accept(number, line, origin, now)
             if accepted is None:
                 continue
-            # A drain of an endpoint that is not there is remembered, against a peer that knows less.
+            # A drain of an endpoint that is not listed is only remembered, so that a peer with an older
+            # list cannot add the endpoint as ready.
             is_applied = (
                 self._state(number) is not None
                 or accepted.state == EndpointState.READY
@@ -229,31 +240,36 @@
         return tuple(applied)
 
     def _state(self, number: int) -> EndpointState | None:
-        """An endpoint's state by peers, else by the own discovery; None if it is not listed."""
+        """Returns an endpoint's state, from peers if they reported one; None if it is not listed."""
         merged = self._merged.get(number)
         if merged is not None:
             return merged.state
         listed = self._listed.get(number)
         return listed.state if listed is not None else None
 
-    def _accepted(self, number: int, line: Line, origin: str, now: int) -> Line | None:
-        """A peer's line as it is taken; None if it is not in the safe direction."""
+    def _accept(self, number: int, line: Line, origin: str, now: int) -> Line | None:
+        """Returns a peer's line as it is to be merged; None if it is not in the safe direction."""
         state = self._state(number)
         if line.state == EndpointState.READY:
             is_unknown = state is None and number not in self._departed
             if not is_unknown or not self._is_complete or origin != self.origin:
-                return None  # what is known here, in any state, is left to the own discovery
+                return (
+                    None  # a known endpoint, in any state, is left to the own discovery
+                )
             self.names[number] = line.id
             return replace(line, started=now)
         if state is not None and SAFE_ORDER[line.state] <= SAFE_ORDER[state]:
             return None
         listed = self._listed.get(number)
         if listed is not None and line.started < listed.started:
-            return None  # of a process before the one that serves now
+            return None  # the line describes an earlier process of this endpoint
         return line
 
     def take_deferred_lines(self) -> tuple[Line, ...]:
-        """Peers' lines that waited for the end of a whole list, once; none before its end."""
+        """Returns and clears the lines from peers that waited for the end of a full list.
+
+        Empty while the list is still in transfer.
+        """
         if self._named is not None:
             return ()
         deferred, self._deferred = self._deferred, ()
--- a/loadbalancer/node/features/node_events.py
+++ b/loadbalancer/node/features/node_events.py
@@ -108,7 +108,7 @@
         if not self.has_followers:
             return listing
         origin = self.host.discovery_origin()
-        amended = self.known_endpoints.amended(listing, origin, more)
+        amended = self.known_endpoints.amend(listing, origin, more)
         self.known_endpoints.update(listing, origin, more)
         digest = self.known_endpoints.digest()
         version = Version(VersionSource.LIST, origin, listing.version, digest)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -536,7 +536,7 @@
             if held.origin != origin or new:
                 drained.clear()
             version += new
-            taken = held.amended(listing, origin, what == "part")
+            taken = held.amend(listing, origin, what == "part")
             held.update(listing, origin, what == "part")
             if what == "own":
                 newer |= {x.id for x in lines} if named is not None else set()
