--- a/loadbalancer/node/features/cells.py
+++ b/loadbalancer/node/features/cells.py
@@ -1,8 +1,9 @@
-"""Feature `[cells]`: this node's summary of its cell, a collector's summary of the fleet, and their reports.
+"""Feature `[cells]`: summarizes this node's cell, collects summaries of the fleet, and exchanges them.
 
-`loadbalancer.cells` decides; the clock, one timer, the channel and the records are here. That records come
-from the own cell alone is done by `node/features/membership_host.py`, and goes on if this feature fails.
-Imported only where the operator configuration has `[cells]`; without `collectors` it reports to nobody.
+The decisions are made in `loadbalancer.cells`; this module provides the clock, one timer, the channel and the
+records. The restriction of records to a node's own cell is implemented in `node/features/membership_host.py`
+and stays in force if this feature fails. The module is imported only where the operator configuration has
+`[cells]`; without `collectors` in that table no reports are sent.
 """
 
 from __future__ import annotations
@@ -55,32 +56,40 @@
     from loadbalancer.node.features.audit import AuditFeature
 
 CHANNEL_TAG = 8
-KIND = "fleet"  # of the record that brings a cell the fleet's summary
-SUMMARY_CACHE_US = 500_000  # a collector replies with the same summary for so long
-LOG_INTERVAL_US = 60_000_000  # between two lines on messages rejected for one reason
-JITTER_BASE_RATIO, JITTER_SPAN_RATIO = 0.75, 0.5  # of the period
-SEED_BITS = 32
-MAX_ORIGIN_CHARS = 64
+KIND = "fleet"  # kind of the record in which a reporter publishes the fleet's summary to its cell
+SUMMARY_CACHE_US = 500_000  # how long a collector reuses a summary that it has computed
+LOG_INTERVAL_US = (
+    60_000_000  # minimum time between two log lines with the same rejection reason
+)
+# Each period lasts between 0.75 and 1.25 times the configured period.
+JITTER_BASE_RATIO, JITTER_SPAN_RATIO = 0.75, 0.5
+SEED_BITS = 32  # size of the discovery poller's random seed
+MAX_ORIGIN_CHARS = 64  # a longer name of a discovery is truncated
 US_PER_S = 1_000_000
 UNKNOWN_ADDRESS: Address = ("", 0)
 
 
 @dataclass(frozen=True, slots=True)
 class RecordVersion:
-    """The record that the fleet's summary was read from."""
+    """Identifies the record that the fleet's summary was read from.
+
+    Attributes:
+        owner: The reporter that published the record.
+        version: The record's version.
+    """
 
     owner: str
     version: int
 
 
 class CellsFeature(CoreFeature):
-    """`[cells]`: the reports of cells, and the summary of the fleet.
+    """Sends the summary of this node's cell to the collectors and receives the summary of the fleet.
 
     Attributes:
-        cell: This node's cell.
-        collector: This node's collector; None if it is none.
-        fleet: The fleet's summary as known here.
-        rejected: Messages that were dropped, by reason.
+        cell: Number of this node's cell.
+        collector: This node's collector state; None if the node is not a collector.
+        fleet: The fleet's summary with its time of receipt; None while it is unknown.
+        rejected: Numbers of rejected messages, by reason.
     """
 
     name = "cells"
@@ -89,7 +98,7 @@
     rules = CollectorRules()
 
     def on_start(self) -> None:
-        """Starts the periods."""
+        """Reads the configuration and starts the periodic reports."""
         host = self.host
         config = host.operator_config().cells
         membership = host.operator_config().membership
@@ -109,21 +118,21 @@
                 host.name, self.layout, self.incarnation, self.rules
             )
         self.collected: TimedSummary | None = None  # the collector's last summary
-        self.reported: TimedSummary | None = None  # what this reporter's record says
+        self.published: TimedSummary | None = None  # content of this reporter's record
         self.fleet: TimedSummary | None = None
         self.fleet_record: RecordVersion | None = None
-        self.live: list[str] = []  # the cell's live members ...
-        self.reporters_of_live: list[str] = []  # ... and the reporters among them
+        self.live_members: list[str] = []  # of this cell
+        self.live_reporters: list[str] = []  # the reporters among `live_members`
         self.counters = CellsCounters()
         self.rejected = Counter[str]()
-        self.logged_at: dict[str, int] = {}  # by reason of a rejection
+        self.logged_at: dict[str, int] = {}  # last log time by rejection reason
         self.channel: Transport | None = None
         self.records: Records | None = None
         self.timer: asyncio.TimerHandle | None = None
         self._open()
 
     def _open(self) -> None:
-        """Opens the channel and the records, and begins the periods, if there are collectors to report to."""
+        """Opens the channel and the records, and starts the periods, if any collectors are configured."""
         self.host.log_event(
             "cells started",
             cell=self.cell,
@@ -132,34 +141,34 @@
             collector=self.collector is not None,
         )
         if self.config.collectors:
-            # Both end with the membership, and this feature with them.
-            self.channel = self.host.channel(CHANNEL_TAG, self.received)
+            # Both are closed with the membership, and this feature is stopped with it.
+            self.channel = self.host.channel(CHANNEL_TAG, self.receive)
             self.records = self.host.records()
             self.schedule()
 
     def stop(self, graceful: bool) -> None:
-        """Ends the periods and withdraws this node's record."""
+        """Stops the periodic reports and withdraws this node's record."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        is_reporting = self.reported is not None and not self.host.ending
+        is_reporting = self.published is not None and not self.host.ending
         if is_reporting and self.records is not None:
             self.records.put(KIND, b"")
         self.host.log_event("cells stopped", cell=self.cell)
 
     def schedule(self) -> None:
-        """Sets the timer to the next period, with jitter."""
+        """Sets the timer for the next period, with jitter."""
         jitter = JITTER_BASE_RATIO + JITTER_SPAN_RATIO * self.random.random()
         delay_s = self.rules.period_us / 1e6 * jitter
         self.timer = self.node.loop.call_later(delay_s, self.on_timer)
 
     def on_timer(self) -> None:
-        """Runs a period, in which a failure ends this feature alone."""
+        """Runs a period; an exception in it stops only this feature."""
         self.schedule()
         self.host.run_guarded(self, self.run_period)
 
     def run_period(self) -> None:
-        """Reports, collects, and takes what the collectors agree on."""
+        """Updates the collector, reports for the cell, reads the fleet's summary, polls discovery if due."""
         if self.records is None:
             return
         now = self.host.now()
@@ -170,8 +179,8 @@
                 )
         if self.host.name in self.reporters():
             self.report(now, self.records)
-        elif self.reported is not None:
-            self.reported = None
+        elif self.published is not None:
+            self.published = None
             self.records.put(KIND, b"")
         self.read_fleet_summary(now, self.records)
         fronts = self.fleet.summary.fronts if self.fleet is not None else ()
@@ -187,14 +196,14 @@
     # ---- the cell's summary ---------------------------------------------------------------------------
 
     def reporters(self) -> list[str]:
-        """Returns who reports for this cell."""
+        """Returns the names of the members that report for this cell."""
         live = self.host.cell_members()
-        if live != self.live:
-            self.live, self.reporters_of_live = live, reporters(self.cell, live)
-        return self.reporters_of_live
+        if live != self.live_members:
+            self.live_members, self.live_reporters = live, reporters(self.cell, live)
+        return self.live_reporters
 
     def collectors(self) -> list[str]:
-        """Returns whom reporters report to now."""
+        """Returns the names of the collectors that reporters currently send to."""
         swim = self.host.members.swim if self.host.members is not None else None
         if swim is None:
             return []
@@ -210,24 +219,24 @@
         return collectors(self.config.collectors, live, regions)
 
     def report(self, now: int, records: Records) -> None:
-        """Reports to the collectors, and to the cell what they agree on."""
+        """Sends the cell's summary to the collectors, and publishes their agreed summary to the cell."""
         self.report_count += 1
         summary = self.summary()
         data = encode(SummaryReport(summary))
         for name in self.collectors():
             if name == self.host.name:
-                self._report_to_itself(now, summary)
+                self._report_to_own_collector(now, summary)
             else:
                 self._send_report(name, data)
         self._publish_agreed_summary(now, records)
 
-    def _report_to_itself(self, now: int, summary: CellSummary) -> None:
-        """Takes this node's own summary as a collector, and its reply as a reporter."""
+    def _report_to_own_collector(self, now: int, summary: CellSummary) -> None:
+        """Passes the summary to this node's own collector, and the reply to this node as a reporter."""
         try:
             self.collect(now, summary)
             self.replies.receive(now, self.fleet_summary(now))
         except SummaryRejectedError as error:
-            # Another process under this node's name has reported more.
+            # Another process with this node's name has sent a later report.
             self.reject(now, str(error), self._address(self.host.name))
 
     def _send_report(self, collector: str, data: bytes) -> None:
@@ -239,13 +248,13 @@
             self.counters.report_bytes_sent += len(data)
 
     def _publish_agreed_summary(self, now: int, records: Records) -> None:
-        """Writes what the collectors agree on into this reporter's record, for the cell."""
+        """Publishes the summary that the collectors agree on to the cell, in this reporter's record."""
         agreed = self.replies.agreed(now)
-        if agreed is None and self.reported is not None:
-            self.reported = None
+        if agreed is None and self.published is not None:
+            self.published = None
             records.put(KIND, b"")
-        elif agreed is not None and is_worth_reporting(now, self.reported, agreed):
-            self.reported = TimedSummary(now, agreed)
+        elif agreed is not None and is_worth_reporting(now, self.published, agreed):
+            self.published = TimedSummary(now, agreed)
             records.put(KIND, encode_fleet_summary(agreed))
 
     def _address(self, member: str) -> Address:
@@ -262,16 +271,16 @@
             self.host.name,
             order,
             CellMembers(known, self.host.cell_members()),
-            self.picture(),
+            self.audit_view(),
         )
 
-    def picture(self) -> FleetView | None:
-        """Returns the audit's last judgement, if there is an audit."""
+    def audit_view(self) -> FleetView | None:
+        """Returns the audit's last view of the fleet; None without an audit or before its first view."""
         audit = self.host.features.get("audit")
         return cast("AuditFeature", audit).view if audit is not None else None
 
     def own_list(self) -> ListNumber | None:
-        """Returns the number of the list that the own discovery has reported."""
+        """Returns the number of the endpoint list that the own discovery has sent; None if unknown."""
         audit = self.host.features.get("audit")
         held = cast("AuditFeature", audit).list_version if audit is not None else None
         return (
@@ -280,9 +289,9 @@
             else None
         )
 
-    # ---- what others say ------------------------------------------------------------------------------
+    # ---- messages from other nodes --------------------------------------------------------------------
 
-    def received(self, data: bytes, source: Address) -> None:
+    def receive(self, data: bytes, source: Address) -> None:
         """Handles a report to this collector, or a reply to this reporter."""
         now = self.host.now()
         try:
@@ -304,10 +313,10 @@
             self.counters.reply_bytes_sent += len(reply)
 
     def collect(self, now: int, summary: CellSummary) -> None:
-        """Takes a report as a collector.
+        """Passes a report to this node's collector.
 
         Raises:
-            SummaryRejectedError: This node is no collector, or the report is not to be believed.
+            SummaryRejectedError: This node is not a collector, or the collector rejects the report.
         """
         if self.collector is None:
             raise SummaryRejectedError("not a collector")
@@ -315,7 +324,7 @@
         self.counters.reports_received += 1
 
     def fleet_summary(self, now: int) -> FleetSummary:
-        """Returns this collector's summary, computed anew after `SUMMARY_CACHE_US`."""
+        """Returns this collector's summary, computed again after `SUMMARY_CACHE_US`."""
         assert self.collector is not None
         if self.collected is None or now - self.collected.at_us >= SUMMARY_CACHE_US:
             self.collector.track_numberings(now)
@@ -323,20 +332,20 @@
             self.collected = TimedSummary(now, summary)
         return self.collected.summary
 
-    def reject(self, now: int, why: str, source: Address) -> None:
-        """Counts a message that is dropped, with one log line a minute for each reason."""
-        self.rejected[why] += 1
-        last = self.logged_at.get(why)
+    def reject(self, now: int, reason: str, source: Address) -> None:
+        """Counts a rejected message, and logs each rejection reason at most once a minute."""
+        self.rejected[reason] += 1
+        last = self.logged_at.get(reason)
         if last is None or now - last >= LOG_INTERVAL_US:
-            self.logged_at[why] = now
+            self.logged_at[reason] = now
             self.host.log_event(
-                "cells summary rejected", reason=why, source="{}:{}".format(*source),
-                count=self.rejected[why],
-                do="give all nodes one [cells] table and one release; while these change it passes by itself",
+                "cells summary rejected", reason=reason, source="{}:{}".format(*source),
+                count=self.rejected[reason],
+                do="give all nodes one [cells] table and one release; during a rollout this ends by itself",
             )  # fmt: skip
 
     def read_fleet_summary(self, now: int, records: Records) -> None:
-        """Takes the fleet's summary from the records of this cell's reporters."""
+        """Reads the fleet's summary from the latest record of this cell's reporters."""
         found = (records.get(name, KIND) for name in self.reporters())
         record = latest_record(record for record in found if record is not None)
         if record is None:
@@ -356,7 +365,7 @@
     # ---- for operators --------------------------------------------------------------------------------
 
     def metrics(self) -> dict[str, Any]:
-        """The table `cells` of `/admin/stats`."""
+        """Returns the table `cells` of `/admin/stats`."""
         return {
             "cell": self.cell,
             "members": len(self.host.cell_members()),
@@ -368,11 +377,11 @@
         }
 
     def pages(self) -> dict[str, AdminPage]:
-        """`/admin/cells`: well while the fleet's summary is known and no cell is unheard."""
+        """Returns `/admin/cells`: healthy while the fleet's summary is known and no cell is unreachable."""
         return {"/admin/cells": self.page}
 
     def page(self) -> tuple[bool, dict[str, Any]]:
-        """This cell, the fleet's summary, and at a collector each cell; ages in seconds."""
+        """Returns this cell, the fleet's summary and, on a collector, every cell; ages in seconds."""
         now = self.host.now()
         table: dict[str, Any] = {
             "cell": self.cell,
@@ -385,16 +394,16 @@
             "fleet": None,
         }
         if self.fleet is not None:
-            told_s = age_s(self.fleet.at_us, now)
-            table["fleet"] = {**summary_table(self.fleet.summary), "told_s": told_s}
+            age = age_s(self.fleet.at_us, now)
+            table["fleet"] = {**summary_table(self.fleet.summary), "told_s": age}
         if self.collector is not None:
             table["collected"] = summary_table(self.fleet_summary(now))
             table["by_cell"] = {
                 str(number): cell_table(cell, now)
                 for number, cell in sorted(self.collector.cells.items())
             }
-        return self._is_well(), table
+        return self._is_healthy(), table
 
-    def _is_well(self) -> bool:
-        is_whole = self.fleet is not None and not self.fleet.summary.unheard
-        return is_whole or not self.config.collectors
+    def _is_healthy(self) -> bool:
+        is_complete = self.fleet is not None and not self.fleet.summary.unheard
+        return is_complete or not self.config.collectors
--- a/loadbalancer/node/features/locality.py
+++ b/loadbalancer/node/features/locality.py
@@ -1,8 +1,9 @@
-"""Hosts the agreement on zones: reports out and in by the members' records, a view to the zone judge.
+"""Feature `[locality]`: exchanges zone reports in the members' records and passes the agreed state on.
 
-`loadbalancer.locality` decides; the clock, the timer, the records and the names are here. The judge belongs
-to the feature of the zones (`node/features/traffic_policies.py`) and goes by itself while there is no view.
-Imported only where the operator configuration has `[locality]`.
+The decisions are made in `loadbalancer.locality`; this module provides the clock, the timer, the records and
+the mapping between zone names and numbers. The agreed state goes to the zone failover policy, which belongs
+to the zone feature (`node/features/traffic_policies.py`) and decides on this node's observations alone while
+it has no agreed view. The module is imported only where the operator configuration has `[locality]`.
 """
 
 from __future__ import annotations
@@ -46,66 +47,77 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedReport:
-    """A record's body with the report in it; None if it is not well formed."""
+    """A decoded record, cached until its body changes.
+
+    Attributes:
+        body: The record's body.
+        report: The report in it; None if the body is malformed.
+    """
 
     body: bytes
     report: LoadReport | None
 
 
 class LocalityFeature(CoreFeature):
-    """`[locality]`: the state of zones that the nodes agree on."""
+    """Takes part in the nodes' agreement on the state of zones, and applies the agreed state.
+
+    Attributes:
+        agreement: The agreed state of each zone, as this node knows it.
+        evidence: This node's own observations of the zones.
+        changes: Changes of a zone's agreed state since the start.
+    """
 
     name = "locality"
     needs_peers = True
 
     def on_start(self) -> None:
-        """Starts the rounds."""
+        """Reads the configuration and runs the first round."""
         self.timer: asyncio.TimerHandle | None = None
         self.records: Records | None = None
         self.evidence = EvidenceCollector()
-        self.zone_of: dict[str, str] = {}  # by endpoint
-        self.objectives_us: dict[str, int] = {}  # latency objectives by class
-        self.table: object = None  # the class table that the objectives are of
-        self.regions: dict[str, ZoneState] = {}  # as last logged
+        self.zone_of: dict[str, str] = {}  # zone by endpoint name
+        self.objectives_us: dict[str, int] = {}  # latency objective by class name
+        self.table: object = None  # the class table that `objectives_us` was read from
+        self.regions: dict[str, ZoneState] = {}  # state by region, as last logged
         self.changes = 0
-        self.decoded: dict[str, DecodedReport] = {}  # by owner
-        self.take(self.host.operator_config())
+        self.decoded: dict[str, DecodedReport] = {}  # by the record's owner
+        self._apply_config(self.host.operator_config())
         self.run_round()
 
-    def take(self, operation: OperatorConfig) -> None:
-        """Reads the operator configuration and starts an agreement by its rules."""
-        wish, zones, membership = (
+    def _apply_config(self, operation: OperatorConfig) -> None:
+        """Reads the operator configuration and creates an agreement with its rules."""
+        config, zones, membership = (
             operation.locality,
             operation.zones,
             operation.membership,
         )
-        assert wish is not None
+        assert config is not None
         assert zones is not None
         assert membership is not None
-        self.wish, self.membership = wish, membership
-        rules = wish.rules(zones)
+        self.config, self.membership = config, membership
+        rules = config.rules(zones)
         self.agreement = ZoneAgreement(self.host.name, rules)
 
     def reload(self, operation: OperatorConfig) -> None:
-        """Takes over a new operator configuration; what is agreed stays."""
+        """Applies a new operator configuration; the agreed state of the zones is kept."""
         before = self.agreement
-        self.take(operation)
+        self._apply_config(operation)
         self.agreement.zones = before.zones
         self.agreement.loads = before.loads
         self.agreement.last_round_us = before.last_round_us
 
     def stop(self, graceful: bool) -> None:
-        """Ends; the judge goes by itself again."""
+        """Stops the rounds; the failover policy decides on this node's observations alone again."""
         if self.timer is not None:
             self.timer.cancel()
-        judge = self.node.balancer.zones.policy
-        if isinstance(judge, AgreedZoneFailover) and not self.host.ending:
-            judge.view = None
+        policy = self.node.balancer.zones.policy
+        if isinstance(policy, AgreedZoneFailover) and not self.host.ending:
+            policy.view = None
 
-    # ---- what the node tells --------------------------------------------------------------------------
+    # ---- events from the node -------------------------------------------------------------------------
 
     def on_attempt_end(self, end: AttemptEnd) -> None:
-        """An attempt, for the evidence."""
+        """Adds a finished attempt to the evidence; it is late if it missed its class's latency objective."""
         if self.table is not self.node.table:
             self.table = self.node.table
             classes = zip(
@@ -119,28 +131,28 @@
         self.evidence.record_attempt(zone, end.outcome, late=late)
 
     def on_list_update(self, update: ListUpdate) -> None:
-        """In which zone each server lies."""
+        """Updates the map from endpoints to zones."""
         for line in update.lines:
             if line.state == EndpointState.GONE:
                 self.zone_of.pop(line.id, None)
             else:
                 self.zone_of[line.id] = line.zone
 
-    # ---- the common state -----------------------------------------------------------------------------
+    # ---- the agreed state -----------------------------------------------------------------------------
 
     def run_round(self) -> None:
-        """Reports what this node sees, and follows what is agreed."""
+        """Publishes this node's report and applies the agreed state; runs every `ROUND_INTERVAL_S`."""
         self.timer = self.node.loop.call_later(ROUND_INTERVAL_S, self.run_round)
-        judge = self.node.balancer.zones.policy
+        policy = self.node.balancer.zones.policy
         members = self.host.members
-        if not isinstance(judge, AgreedZoneFailover) or members is None:
+        if not isinstance(policy, AgreedZoneFailover) or members is None:
             return
         if self.records is None:
             try:
                 self.records = self.host.records()
             except FeatureError:
-                return  # there is no membership yet
-        own = self.own_report(judge)
+                return  # the membership has not started yet
+        own = self.own_report(policy)
         reports = self.received_reports(self.records)
         census = members.census() if members.layout is not None else None
         known: Collection[str]
@@ -153,26 +165,26 @@
             own,
             reports,
             Members(known, set(self.host.cell_members())),
-            self.held_back(judge),
+            self.zones_awaiting_approval(policy),
         )
         for change in changes:
             self.log_change(change)
         self.records.put(KIND, encode(report))
-        judge.view = self.view(judge, len(known), census)
+        policy.view = self.view(policy, len(known), census)
 
-    def own_report(self, judge: AgreedZoneFailover) -> LoadReport:
-        """This node's evidence."""
+    def own_report(self, policy: AgreedZoneFailover) -> LoadReport:
+        """Returns this node's report: its zone, its load and its evidence on every zone."""
         names = {number: name for name, number in self.node.zones.items()}
-        unwell = {
-            names[zone]: part
-            for zone, part in judge.observed_unhealthy.items()
+        unhealthy = {
+            names[zone]: ratio
+            for zone, ratio in policy.observed_unhealthy.items()
             if zone in names
         }
-        seen = self.evidence.report(self.host.now(), unwell, judge.load)
+        seen = self.evidence.report(self.host.now(), unhealthy, policy.load)
         return LoadReport(self.host.zone(), self.evidence.load, seen)
 
     def received_reports(self, records: Records) -> dict[str, LoadReport]:
-        """The reports of all members that are not stale; each record is decoded once."""
+        """Returns the reports in the members' records that are not stale; each record is decoded once."""
         reports = {}
         for record in records.of(KIND):
             decoded = self.decoded.get(record.owner)
@@ -182,34 +194,40 @@
             if decoded.report is not None and not record.stale:
                 reports[record.owner] = decoded.report
         if len(self.decoded) > 2 * len(reports) + 16:
-            self.decoded.clear()  # of members that have gone
+            self.decoded.clear()  # bounds the cache, which still holds members that have left
         return reports
 
-    def held_back(self, judge: AgreedZoneFailover) -> set[str]:
-        """Zones whose return waits for its approval; one that another zone needs waits for nobody."""
-        waiting = set()
+    def zones_awaiting_approval(self, policy: AgreedZoneFailover) -> set[str]:
+        """Returns the zones whose return waits for approval.
+
+        A zone returns without approval if another zone has failed and is not about to return, because its
+        capacity is needed.
+        """
+        awaiting = set()
         for name, zone in self.agreement.zones.items():
             number = self.node.zones.get(name)
-            judged = judge.zones.get(number) if number is not None else None
-            if number is None or judged is None or judged.lost:
-                continue  # the judge itself sees to a zone whose endpoints have gone
+            tracked_zone = policy.zones.get(number) if number is not None else None
+            if number is None or tracked_zone is None or tracked_zone.lost:
+                continue  # the policy itself handles a zone without endpoints
             is_due = zone.state == ZoneState.FAILED and zone.due == FIRST_RETURN_STEP
             is_held = (
                 is_due
-                and judge.approval_required
-                and number not in judge.approved_returns
+                and policy.approval_required
+                and number not in policy.approved_returns
             )
             if is_held and not self._has_other_failed_zone(zone):
-                judge.awaiting_approval.setdefault(number, judged.usable_endpoints)
-                waiting.add(name)
+                policy.awaiting_approval.setdefault(
+                    number, tracked_zone.usable_endpoints
+                )
+                awaiting.add(name)
             else:
-                judge.awaiting_approval.pop(number, None)
+                policy.awaiting_approval.pop(number, None)
                 if not is_due:
-                    judge.approved_returns.discard(number)
-        return waiting
+                    policy.approved_returns.discard(number)
+        return awaiting
 
     def _has_other_failed_zone(self, zone: AgreedZone) -> bool:
-        """Whether another zone has failed and is not about to return."""
+        """Returns whether another zone has failed and is not about to return."""
         return any(
             other.state == ZoneState.FAILED and other.due is None
             for other in self.agreement.zones.values()
@@ -217,12 +235,17 @@
         )
 
     def view(
-        self, judge: AgreedZoneFailover, nodes: int, census: MemberCount | None
+        self, policy: AgreedZoneFailover, nodes: int, census: MemberCount | None
     ) -> AgreedView:
-        """Returns the agreed state in the judge's numbers.
+        """Returns the agreed state, keyed by the zone numbers that the policy uses.
+
+        With cells, the load of zones is extrapolated from the cell's nodes to the complete fleet, and the
+        capacity of a zone is divided among the nodes of the fleet.
 
-        With cells the load of zones is extrapolated from the cell's nodes to the whole fleet, and the nodes
-        that divide the capacity are the fleet's.
+        Args:
+            policy: The failover policy that the view is for.
+            nodes: Number of known members, used without cells.
+            census: The members counted by cells; None without cells.
         """
         agreement, numbers = self.agreement, self.node.zones
         load = agreement.load_by_zone()
@@ -234,15 +257,15 @@
                 for name, number in by_number.items()
             }
         if census is not None:
-            heard = Counter(report.zone for report in agreement.received.values())
-            load = census.extrapolate(load, heard)
+            reporters = Counter(report.zone for report in agreement.received.values())
+            load = census.extrapolate(load, reporters)
             if outside is not None:
                 outside = {
                     n: calls * census.fleet_ratio for n, calls in outside.items()
                 }
             nodes = census.fleet
-        capacities = self.wish.zone_requests_per_s
-        spills = self.wish.zone_spill_percent
+        capacities = self.config.zone_requests_per_s
+        spills = self.config.zone_spill_percent
         return AgreedView(
             health={
                 number: agreement.zones[name].applied_level / FULL_LEVEL
@@ -255,11 +278,11 @@
             load_outside=outside,
             capacity={numbers[z]: r for z, r in capacities.items() if z in numbers},
             spill={numbers[z]: p / 100 for z, p in spills.items() if z in numbers},
-            trial_ratio=self.wish.trial_percent / 100,
+            trial_ratio=self.config.trial_percent / 100,
         )
 
     def log_change(self, change: StateChange) -> None:
-        """Logs a change of a zone, and of its region with it."""
+        """Logs a change of a zone's agreed state, and changes of regions that result from it."""
         self.changes += 1
         self.host.log_event(
             "locality zone changed",
@@ -294,7 +317,7 @@
     # ---- for operators --------------------------------------------------------------------------------
 
     def metrics(self) -> dict[str, Any]:
-        """In `/admin/stats`, under `locality`."""
+        """Returns the table `locality` of `/admin/stats`."""
         zones = self.agreement.zones.values()
         return {
             "changes": self.changes,
@@ -304,26 +327,26 @@
         }
 
     def pages(self) -> dict[str, Callable[[], tuple[bool, dict[str, Any]]]]:
-        """`/admin/zones`: well while all zones are healthy and most nodes are heard."""
+        """Returns `/admin/zones`: healthy while all zones are, and reports of most nodes arrive."""
         return {"/admin/zones": self.page}
 
     def page(self) -> tuple[bool, dict[str, Any]]:
-        """Each zone's agreed state, who sees what of it, and since when, in seconds ago."""
-        agreement, judge = self.agreement, self.node.balancer.zones.policy
+        """Returns each zone's agreed state, its age in seconds, and the reports of it by node."""
+        agreement, policy = self.agreement, self.node.balancer.zones.policy
         zones = sorted(agreement.zones.items())
         regions = self.region_states()
         table = {
             "zone": self.host.zone(),
             "heard": len(agreement.received),
             "minority": agreement.minority,
-            "panic": isinstance(judge, AgreedZoneFailover) and judge.panic,
+            "panic": isinstance(policy, AgreedZoneFailover) and policy.panic,
             "regions": {name: state.name.lower() for name, state in regions.items()},
             "zones": {name: self._zone_row(name, zone) for name, zone in zones},
         }
-        is_well = not agreement.minority and all(
+        is_healthy = not agreement.minority and all(
             zone.state == ZoneState.HEALTHY for _, zone in zones
         )
-        return is_well, table
+        return is_healthy, table
 
     def _zone_row(self, name: str, zone: AgreedZone) -> dict[str, Any]:
         reports = {
--- a/tests/test_cells_host.py
+++ b/tests/test_cells_host.py
@@ -457,17 +457,17 @@
             encode(SummaryReport(other)),
             encode(SummaryReport(good))[:-1],
         ) * 3:
-            collector.received(data, far)
-        collector.received(
+            collector.receive(data, far)
+        collector.receive(
             encode(
                 SummaryReport(msgspec.structs.replace(good, cell=(good.cell + 1) % 3))
             ),
             far,
         )
         mine = part(benches[1])
-        mine.received(encode(SummaryReport(good)), far)
+        mine.receive(encode(SummaryReport(good)), far)
         liar = collector.fleet_summary(0)
-        mine.received(
+        mine.receive(
             encode(FleetSummaryReply(msgspec.structs.replace(liar, collector="n3"))),
             far,
         )
@@ -479,7 +479,7 @@
         assert len(collector.collector.cells) == 3
         # Another process under this node's name has told more: what it tells itself is old for a while.
         later = msgspec.structs.replace(good, life=good.life + 9)
-        collector.received(encode(SummaryReport(later)), far)
+        collector.receive(encode(SummaryReport(later)), far)
         collector.report(collector.host.now(), collector.host.records())
         assert collector.rejected["old"] == 1
         await until(lambda: all(front_of(b) == (50, 0) for b in benches))
