--- a/loadbalancer/node/features/membership_host.py
+++ b/loadbalancer/node/features/membership_host.py
@@ -1,9 +1,10 @@
-"""Hosts the membership protocol on a UDP socket, and shows operators what it knows.
+"""Hosts the membership protocol on a UDP socket, and shows its state to operators.
 
-Imported only where the operators' file has `[membership]` and the platform lets nodes talk to each other. The
-state machine (`loadbalancer.membership.swim`) decides; here are the socket, one timer at its next deadline,
-the monotonic clock (a clock that is set by hand moves nothing) and the log lines of changes. The socket is
-shared: other features take channels of their own from `mux`.
+The state machine in `loadbalancer.membership.swim` makes the decisions. This module provides the socket, one
+timer for the next deadline, the monotonic clock (so that setting the wall clock has no effect) and the log
+lines of changes. The socket is shared: other features open their own channels on `mux`. The module is
+imported only where the operator configuration has `[membership]` and the platform lets nodes communicate with
+each other.
 """
 
 from __future__ import annotations
@@ -30,33 +31,34 @@
     from loadbalancer.cells.member_count import MemberCount
     from loadbalancer.node.features.records import RecordsHost
 
-# A node that starts among 300 others writes 300 lines of changes.
+# A node that starts in a fleet of 300 others logs 300 member changes at once.
 MAX_LOG_LINES_PER_S = 1000
-BIND_RETRY_S = 0.2
-# Then members are counted again, whether or not one changed
-CENSUS_MAX_AGE_US = 10_000_000
+BIND_RETRY_S = 0.2  # wait between two attempts to bind the socket
+CENSUS_MAX_AGE_US = (
+    10_000_000  # an older census is counted again, even if no member has changed
+)
 US_PER_S = 1e6
 
 
 def monotonic_us() -> int:
-    """Monotonic time in microseconds."""
+    """Returns the monotonic time in microseconds."""
     return monotonic_ns() // 1_000
 
 
 class JsonLog(Log):
-    """JSON lines on standard error, limited per second like all of the node's log."""
+    """Writes JSON lines to standard error, with a rate limit like the rest of the node's log."""
 
     def frame(self, text: str) -> str:
-        """The line itself; a JSON line for the notice that lines were omitted."""
+        """Returns a JSON line unchanged, and the notice that lines were omitted as a JSON line."""
         if text.startswith("{"):
             return text
         return f'{{"event": "log lines omitted", "node": "{self.name}"}}'
 
-    info = warning = Log.line  # what structlog calls with a finished line
+    info = warning = Log.line  # structlog calls these with the rendered line
 
 
 def json_logger(name: str) -> Any:
-    """A logger of JSON lines that all name the node."""
+    """Returns a logger that writes JSON lines, each with the node's name in the key `node`."""
     return structlog.wrap_logger(
         JsonLog(name, MAX_LOG_LINES_PER_S),
         processors=[
@@ -73,11 +75,12 @@
     """How a node takes part in the membership.
 
     Attributes:
-        local: what the node says of itself; its port may be 0, for the port that is bound.
-        listen: address of the socket.
-        seeds: addresses of members to join through.
-        seed: of the protocol's random draws.
-        start_fields: further fields of the log line "membership started".
+        local: This node as a member; port 0 stands for the port that is bound.
+        settings: Settings of the membership protocol.
+        listen: Address that the socket is bound to.
+        seeds: Addresses of the members to join through.
+        seed: Seed of the protocol's random numbers.
+        start_fields: Additional fields of the log line "membership started".
     """
 
     local: Member
@@ -89,9 +92,16 @@
 
 
 class MembershipHost:
-    """One node's part in the membership.
+    """Runs the membership protocol for one node.
 
-    `on_change` is called whenever the state of a member has changed.
+    Attributes:
+        options: How the node takes part.
+        on_change: Called after the state of a member has changed.
+        swim: The protocol's state machine; None while the socket is not bound.
+        mux: Divides the socket into channels for the features.
+        records_host: The hosted records; None until a feature uses them.
+        unsent: Number of datagrams that the socket could not send.
+        layout: The layout of cells; if set, records come only from members of this node's cell.
     """
 
     def __init__(
@@ -100,27 +110,25 @@
         self.options = options
         self.on_change = on_change
         self.log = json_logger(options.local.name)
-        self.swim: Swim | None = None  # once there is a socket
+        self.swim: Swim | None = None
         self.udp = Udp(options.listen)
         self.mux = Mux(self.udp, options.settings.cluster)
-        # Once a feature has asked for records
         self.records_host: RecordsHost | None = None
-        self.unsent = 0  # datagrams that no socket would take
-        # Records come from the own cell alone, if set
+        self.unsent = 0
         self.layout: Layout | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._timer_us = 0
         self._binding: asyncio.Task[None] | None = None
-        # With the time of the count
+        # Time of the count in monotonic microseconds, and its result.
         self._census: tuple[int, MemberCount] | None = None
 
     # ---- start and stop ------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Joins as soon as the address can be bound.
+        """Joins the cluster as soon as the address can be bound.
 
-        In an upgrade the process before this one holds the port until its SIGTERM. A port that another
-        program holds is logged once and tried again, while the node serves.
+        During an upgrade the previous process holds the port until its SIGTERM. If another program holds the
+        port, this is logged once and binding is retried while the node serves requests.
         """
         self._binding = asyncio.get_running_loop().create_task(self._bind_and_join())
 
@@ -137,7 +145,7 @@
         self._perform(self.swim.join(monotonic_us(), self.options.seeds))
 
     async def _bind(self) -> Address:
-        """Opens the socket, however often it has to be tried; the address that is bound."""
+        """Opens the socket, retrying until it succeeds, and returns the bound address."""
         is_logged = False
         while True:
             try:
@@ -155,10 +163,12 @@
             await asyncio.sleep(BIND_RETRY_S)
 
     def stop(self, graceful: bool) -> None:
-        """Ends this process's part; with `graceful` it leaves the cluster.
+        """Stops the protocol and closes the socket.
 
-        Without it not one more datagram goes out: another process of this node continues under its name, or
-        the platform has forbidden nodes to talk.
+        Args:
+            graceful: Whether to leave the cluster. Otherwise no further datagram is sent, because another
+                process of this node continues under its name, or the platform has forbidden communication
+                between nodes.
         """
         if self._binding is not None:
             self._binding.cancel()
@@ -187,11 +197,11 @@
 
     def _send(self, actions: list[SendDatagram]) -> None:
         for action in actions:
-            # Gossip may hold addresses that no socket can send to.
+            # Gossip may contain addresses that cannot be sent to.
             self.unsent += not self.mux.send(action.data, action.address)
 
     def _perform(self, actions: list[SendDatagram]) -> None:
-        """Sends datagrams, logs changes, and sets the timer for what comes next."""
+        """Sends datagrams, logs changes, and sets the timer for the next deadline."""
         if self.swim is None:
             return
         self._send(actions)
@@ -206,7 +216,7 @@
             self.on_change()
 
     def _schedule(self, deadline_us: int) -> None:
-        """Sets the timer; a later deadline is found when the earlier timer fires."""
+        """Sets the timer, unless an earlier one is pending, which sets the next timer when it fires."""
         if self._timer is not None and deadline_us >= self._timer_us:
             return
         if self._timer is not None:
@@ -226,10 +236,10 @@
             reason=change.reason,
         )
 
-    # ---- what builds on it ---------------------------------------------------------------------------
+    # ---- records and cells ---------------------------------------------------------------------------
 
     def records(self) -> RecordsHost:
-        """The records that spread among the members, from the first call on."""
+        """Returns the hosted records; the first call creates them."""
         if self.records_host is None:
             from loadbalancer.node.features.records import RecordsHost
 
@@ -241,7 +251,10 @@
         return self.records_host
 
     def addresses(self) -> dict[str, Address]:
-        """Addresses of the live members of the own cell, this node included; of all without a layout."""
+        """Returns the addresses by name of the live members of this node's cell, including this node.
+
+        Without a layout these are all live members.
+        """
         if self.swim is None:
             return {}
         if self.layout is not None:
@@ -251,7 +264,10 @@
         return {member.name: member.address for member in self.swim.live_members()}
 
     def set_layout(self, layout: Layout | None) -> None:
-        """From now on records come from the own cell of this layout; None: from all members."""
+        """Sets the layout of cells: records then come only from members of this node's cell.
+
+        With None they come from all members.
+        """
         if layout == self.layout:
             return
         self.layout, self._census = layout, None
@@ -262,23 +278,25 @@
             self.records_host.set_live_members(self.addresses())
 
     def cell_names(self) -> list[str]:
-        """Names of the live members of the own cell.
+        """Returns the names of the live members of this node's cell.
 
         Raises:
-            ValueError: there is no layout.
+            ValueError: No layout is set.
         """
         return list(self.census().cell)
 
     def census(self) -> MemberCount:
-        """The members counted by cells, not older than `CENSUS_MAX_AGE_US`.
+        """Returns the members counted by cells; the count is not older than `CENSUS_MAX_AGE_US`.
 
         Raises:
-            ValueError: there is no layout.
+            ValueError: No layout is set.
         """
         from loadbalancer.cells.member_count import MemberRow, count_members
 
         if self.layout is None:
-            raise ValueError("there are no cells")
+            raise ValueError(
+                "cannot count the members by cells: the member has no layout of cells"
+            )
         now_us = monotonic_us()
         if self._census is None or now_us - self._census[0] > CENSUS_MAX_AGE_US:
             known = (
@@ -294,27 +312,32 @@
             self._census = (now_us, census)
         return self._census[1]
 
-    # ---- operators -----------------------------------------------------------------------------------
+    # ---- for operators -------------------------------------------------------------------------------
 
     def live_names(self) -> list[str]:
-        """Names of all that are alive or merely suspected, this node included."""
+        """Returns the names of all members that are alive or only suspected, including this node."""
         if self.swim is None:
             return []
         return [member.name for member in self.swim.live_members()]
 
     def view(self) -> list[Member]:
-        """This node, then all known members by name."""
+        """Returns this node, followed by all known members sorted by name."""
         if self.swim is None:
             return []
         return [self.swim.local, *self.swim.sorted_members()]
 
     def table(self) -> tuple[bool, dict[str, Any]]:
-        """The page /admin/membership: whether it has joined, and all members with ages in seconds."""
+        """Returns the page `/admin/membership`: whether the node has joined, and all members.
+
+        Ages are in seconds.
+        """
         now_us = monotonic_us()
         view = self.view()
         rows = [self._row(member, now_us) for member in view]
         if rows:
-            rows[0]["age_s"] = 0.0  # this node's knowledge of itself
+            rows[0]["age_s"] = (
+                0.0  # this node's information on itself is always current
+            )
         return self.swim is not None, {"members": rows, **self.metrics()}
 
     def _row(self, member: Member, now_us: int) -> dict[str, Any]:
@@ -333,7 +356,7 @@
         }
 
     def metrics(self) -> dict[str, Any]:
-        """Counts for the node's metrics."""
+        """Returns the table `membership` of the node's metrics."""
         counts = dict.fromkeys((state.name.lower() for state in MemberState), 0)
         for member in self.view():
             counts[member.state.name.lower()] += 1
--- a/loadbalancer/node/features/weight_updates.py
+++ b/loadbalancer/node/features/weight_updates.py
@@ -1,7 +1,8 @@
-"""Hosts the rates and weights of `[spread]`: reports this node's rate, reads all others', selects by them.
+"""Reports this node's request rate, reads the rates of other nodes, and sets the weights of `[spread]`.
 
-`loadbalancer.spread` decides; here are the clock, the records and the node's loop, on which weights are
-computed in slices of half a millisecond. Each node updates about once a second, at moments of its own.
+The decisions are made in `loadbalancer.spread`; this module provides the clock, the records and the node's
+event loop, on which weights are computed in slices of half a millisecond. Each node updates about once a
+second, with jitter, so that the nodes do not update at the same_zone time.
 """
 
 from __future__ import annotations
@@ -25,23 +26,26 @@
     encode,
 )
 
-UPDATE_INTERVAL_S = 1.0  # between two updates, on average
-JITTER_BASE_RATIO, JITTER_SPAN_RATIO = 0.75, 0.5  # of the interval
-SLICE_US = 500  # work at a time
-SLICE_PAUSE_S = 0.002  # between two slices
-REST_RATIO = 100  # no new computation before so many times what the last one took
-NARROWING_RATIO = 0.6  # a wider subset is given up once so much of it would do
+UPDATE_INTERVAL_S = 1.0  # mean time between two updates
+# The time between two updates lies between 0.75 and 1.25 times the mean.
+JITTER_BASE_RATIO, JITTER_SPAN_RATIO = 0.75, 0.5
+SLICE_US = 500  # processor time of one slice of a computation
+SLICE_PAUSE_S = 0.002  # pause between two slices
+REST_RATIO = 100  # pause between two computations, as a multiple of the time that the last one took
+NARROWING_RATIO = (
+    0.6  # the least size is reduced once the required one is below this fraction of it
+)
 
 
 @dataclass(frozen=True, slots=True)
 class ComputationInputs:
-    """What target factors were computed from; a new computation starts only where one of them differs.
+    """The inputs of a computation of target factors; a new computation starts only if one has changed.
 
     Attributes:
-        zone: The zone that shares its servers; None if all do.
-        reports: The completed rate reports.
+        zone: The zone whose servers are shared; None if the servers of all zones are shared.
+        reports: The rate reports, one for each live member.
         valid_from: The generation of the endpoint list.
-        endpoints_hash: Hash of the listed endpoints.
+        endpoints_hash: Hash of the numbers of the listed endpoints.
     """
 
     zone: int | None
@@ -51,13 +55,20 @@
 
 
 class WeightUpdates:
-    """One node's reports and weights, as long as `[spread] weights` is on."""
+    """Exchanges rate reports and keeps this node's weights current while `[spread] weights` is on.
+
+    Attributes:
+        reports: The last rate report of each member.
+        factors: The factors in force, by server number.
+        target_factors: The factors that `factors` approaches, by server number; empty for equal factors.
+        weights: The weights last passed to the balancer; None if there are none.
+    """
 
     def __init__(self, feature: Feature, host: NodeFeatureHost) -> None:
         """Starts the updates.
 
         Args:
-            feature: The feature in whose name the host runs them.
+            feature: The feature that the host runs the updates for; a failure stops this feature.
             host: The node's feature host.
         """
         self.feature, self.host, self.node = feature, host, host.node
@@ -65,22 +76,22 @@
         self.random = Random(node.config.seed + 1)
         self.rate_meter = RateMeter(node.now(), node.metrics.forwards)
         self.records: Records | None = None
-        self.versions: dict[str, int] = {}  # of the records that were read, by owner
-        self.reports: dict[str, RateReport] = {}  # the last one, by member
-        self.factors: dict[int, float] = {}  # in force, by server
-        self.target_factors: dict[int, float] = {}  # where they should be
+        self.versions: dict[str, int] = {}  # versions of the records read, by owner
+        self.reports: dict[str, RateReport] = {}
+        self.factors: dict[int, float] = {}
+        self.target_factors: dict[int, float] = {}
         self.inputs: ComputationInputs | None = None  # of the last computation
         self.computation: Iterator[dict[int, float] | None] | None = None
         self.last_computation_us = self.spent_us = 0
-        self.rest_until = 0  # monotonic microseconds; no computation starts before
-        self.weights: dict[int, float] | None = None  # as the balancer has them
+        self.rest_until = 0  # earliest start of the next computation, in monotonic us
+        self.weights: dict[int, float] | None = None
         self.timer = node.loop.call_later(
             UPDATE_INTERVAL_S * self.random.random(), self._on_timer
         )
         self.slice_timer: asyncio.TimerHandle | None = None
 
     def stop(self) -> None:
-        """Ends the updates; weights and subsets are as without."""
+        """Stops the updates and removes their effect on weights and on the subset's size."""
         for handle in (self.timer, self.slice_timer):
             if handle is not None:
                 handle.cancel()
@@ -99,17 +110,17 @@
         self.host.run_guarded(self.feature, self.update)
 
     def update(self) -> None:
-        """Reports the rate, reads the others' reports, and goes one step nearer to the target weights."""
+        """Reports the rate, reads the other members' reports, and moves the weights towards their targets."""
         node, now = self.node, self.node.now()
-        code = self.rate_meter.update(now, node.metrics.forwards)
+        rate_code = self.rate_meter.update(now, node.metrics.forwards)
         members = self.host.members
         if members is None:
             return
-        # Of the membership in force, which may have been started again since.
+        # Read each time, because the membership may have been restarted since the last update.
         self.records = members.records()
         index, count = node.settings.position
-        if code >= 0:
-            body = encode(code, self._subset_size(), index % count, count)
+        if rate_code >= 0:
+            body = encode(rate_code, self._subset_size(), index % count, count)
             self.records.put(KIND, body)
         live, zone = self._sharing_members()
         reports = (
@@ -118,16 +129,20 @@
             else None
         )
         if reports is None:
-            # Cut off, or at the start: the factors go back to equal ones; a wider subset does no harm.
+            # The node is partitioned or has just started: the factors return to equal ones. The subset is
+            # not narrowed, as a wider subset does no harm.
             self.target_factors, self.inputs, self.computation = {}, None, None
         else:
             self._update_targets(now, zone, reports)
         self.factors = spread_weights.next_factors(self.factors, self.target_factors)
         subset_ids = [member.id for member in node.balancer.subset.members]
-        self._use_weights(spread_weights.relative_weights(self.factors, subset_ids))
+        self._set_weights(spread_weights.relative_weights(self.factors, subset_ids))
 
     def _subset_size(self) -> int:
-        """The subset's size as `size_of` takes it."""
+        """Returns the size to report for the subset.
+
+        The minimum size applies if the list has more than `SUBSET_MOST` endpoints for each instance.
+        """
         balancer, settings = self.node.balancer, self.node.settings
         least = max(1, settings.min_subset_size)
         return (
@@ -137,21 +152,20 @@
         )
 
     def _sharing_members(self) -> tuple[list[str], int | None]:
-        """The live members that share servers with this node, and the zone that they share.
+        """Returns the live members that share servers with this node, and the zone that they share.
 
-        Returns:
-            All and None, unless calls keep to their zone.
+        While requests are not kept within their zone these are all live members and None.
         """
         live, members = self.host.live_members(), self.host.members
         if not self.node.balancer.spill.enabled or members is None:
             return live, None
         zones = {member.name: member.zone for member in members.view()}
         own_zone = self.host.zone()
-        same = [name for name in live if zones.get(name, own_zone) == own_zone]
-        return same, self.node.settings.zone
+        same_zone = [name for name in live if zones.get(name, own_zone) == own_zone]
+        return same_zone, self.node.settings.zone
 
     def _read_reports(self, records: Records, live: list[str]) -> bool:
-        """Reads new reports of live members; whether enough of the members have a fresh one."""
+        """Reads new reports of live members; returns whether enough members have a fresh report."""
         live_names, gone, fresh = set(live), set(self.versions), 0
         for record in records.of(KIND):
             if record.owner not in live_names:
@@ -161,10 +175,11 @@
                 self.versions[record.owner] = record.version
                 try:
                     self.reports[record.owner] = decode(record.body)
-                except ValueError:  # of another version of the program: the mean holds
+                except ValueError:  # from another release; the mean rate is assumed
                     self.reports.pop(record.owner, None)
             fresh += not record.stale and record.owner in self.reports
-        # Not live any more, or withdrawn: such a member selects without weights, and the mean holds for it.
+        # A member that is no longer live, or has withdrawn its report, selects without weights; its rate
+        # is assumed to be the mean.
         for owner in gone:
             del self.versions[owner]
             self.reports.pop(owner, None)
@@ -173,7 +188,7 @@
     def _update_targets(
         self, now: int, zone: int | None, reports: list[RateReport]
     ) -> None:
-        """Sets the subset's least size, and starts a computation where any input has changed."""
+        """Sets the subset's least size, and starts a computation if any input has changed."""
         endpoint_list = self.node.balancer.subset.endpoint_list
         servers = (
             len(endpoint_list) if zone is None else endpoint_list.ready.get(zone, 0)
@@ -208,19 +223,19 @@
         self.host.run_guarded(self.feature, self._compute_slice)
 
     def _compute_slice(self) -> None:
-        """Computes for `SLICE_US`; takes over the targets once they are found."""
+        """Computes for `SLICE_US`; applies the target factors once they are complete."""
         started_at = now = self.node.now()
-        found = None
+        factors = None
         while (
             self.computation is not None
-            and found is None
+            and factors is None
             and now - started_at < SLICE_US
         ):
-            found = next(self.computation)
+            factors = next(self.computation)
             now = self.node.now()
         self.spent_us += now - started_at
-        if found is not None:
-            self.target_factors, self.computation = found, None
+        if factors is not None:
+            self.target_factors, self.computation = factors, None
             self.last_computation_us = self.spent_us
             self.rest_until = now + REST_RATIO * self.last_computation_us
         elif self.computation is not None:
@@ -228,28 +243,28 @@
                 SLICE_PAUSE_S, self._on_slice_timer
             )
 
-    def _use_weights(self, weights: dict[int, float]) -> None:
-        """Gives the balancer weights that differ from its own."""
+    def _set_weights(self, weights: dict[int, float]) -> None:
+        """Passes the weights to the balancer if they have changed."""
         if weights != self.weights:
             self.weights = weights
             self.node.post(self.node.balancer.update_weights, weights)
 
     def _set_least_members(self, least: int) -> None:
-        """Has the subset be no smaller than `least` servers."""
+        """Sets the least size of the node's subset, in servers."""
         if least != self.node.spread_members:
             self.node.spread_members = least
             self.node.apply_settings(self.node.table.settings)
 
     def metrics(self) -> dict[str, Any]:
-        """Figures for the operators: rate, reports, members and weights."""
-        own, used = self.reports.get(self.host.name), (self.weights or {}).values()
+        """Returns the rate, reports, members and weights, under their published names."""
+        own, weights = self.reports.get(self.host.name), (self.weights or {}).values()
         targets = self.target_factors.values()
         return {
             "rate": round(own.rate, 2) if own is not None else None,
             "told": len(self.reports),
             "members": len(self.node.balancer.subset.members),
             "least_members": self.node.spread_members,
-            "least_weight": round(min(used, default=1.0), 3),
+            "least_weight": round(min(weights, default=1.0), 3),
             "lowest": round(min(targets, default=1.0), 3),
             "highest": round(max(targets, default=1.0), 3),
             "took_ms": self.last_computation_us / 1000,
