--- a/loadbalancer/node/features/cache_observer.py
+++ b/loadbalancer/node/features/cache_observer.py
@@ -1,4 +1,4 @@
-"""What this node sees of its servers' caches: requested keys, hits, and how long hits and misses take."""
+"""Observes the servers' caches: counts requested keys and hits, and times hits and misses."""
 
 from __future__ import annotations
 
@@ -7,18 +7,20 @@
 from loadbalancer.node.features.feature import AttemptEnd
 from loadbalancer.policy.api import Outcome
 
-MIN_TIMED_ANSWERS = 50  # hits and misses each, until their durations are known
-DURATION_SMOOTHING = 0.01  # weight of the newest
-MIN_DURATION_S = 1e-6
+MIN_TIMED_ANSWERS = (
+    50  # hits, and also misses, that are needed before their mean duration is used
+)
+DURATION_SMOOTHING = 0.01  # weight of the newest duration in the mean
+MIN_DURATION_S = 1e-6  # avoids a division by zero
 US_PER_S = 1e6
 
 
 class AnswerDuration:
-    """The mean duration of attempts, smoothed.
+    """An exponentially smoothed mean of attempt durations.
 
     Attributes:
-        mean_us: In microseconds.
-        answers: How many went in.
+        mean_us: The mean, in microseconds.
+        answers: Number of durations added.
     """
 
     def __init__(self) -> None:
@@ -26,22 +28,25 @@
         self.answers = 0
 
     def add(self, duration_us: int) -> None:
-        """Takes one more into the mean."""
+        """Adds the duration of one attempt, in microseconds."""
         self.answers += 1
         weight = max(1 / self.answers, DURATION_SMOOTHING)
         self.mean_us += weight * (duration_us - self.mean_us)
 
 
 class CacheObserver:
-    """One node's observations. Times are of the node's clock (`Node.now`), in microseconds.
+    """One node's observations of its servers' caches.
+
+    Times are by the node's clock (`Node.now`), in microseconds. Hits are also counted over a span, which
+    forecasts are compared with.
 
     Attributes:
-        sample: The requested keys.
-        span_hits: Answers from a cache since the span began.
-        span_answers: Answers since then that said whether they came from a cache.
-        span_started_at: When the span began.
-        hit_duration: Of answers from a cache.
-        miss_duration: Of other answers that said so.
+        sample: The sample of requested keys.
+        span_hits: Responses from a cache in the current span.
+        span_answers: Responses in the current span that reported whether they came from a cache.
+        span_started_at: Start of the current span.
+        hit_duration: Mean duration of attempts that were cache hits.
+        miss_duration: Mean duration of attempts that were reported as cache misses.
     """
 
     def __init__(self, window_us: int, now: int) -> None:
@@ -51,7 +56,7 @@
         self.hit_duration, self.miss_duration = AnswerDuration(), AnswerDuration()
 
     def add(self, end: AttemptEnd) -> None:
-        """Counts an attempt that has ended. On the request path."""
+        """Counts a finished attempt; called on the request path, for every attempt."""
         if not end.shard_key or end.outcome != Outcome.OK:
             return
         self.sample.add(key_position(end.shard_key))
@@ -63,34 +68,35 @@
         duration = self.hit_duration if end.cache_hit else self.miss_duration
         duration.add(end.ended_at_us - end.started_at_us)
 
-    def begin_span(self, now: int) -> None:
-        """Begins to count hits and answers anew."""
+    def start_span(self, now: int) -> None:
+        """Starts a new span, with no hits or responses counted."""
         self.span_hits = self.span_answers = 0
         self.span_started_at = now
 
     def rate(self, now: int) -> float:
-        """Requests with keys that this node sends a second."""
+        """Returns the requests with keys per second that this node sends."""
         window = self.sample.current
         return window.requests / max(1.0, (now - window.started_at) / US_PER_S)
 
     def tolerable_misses(
-        self, limit_share: float, rate: float, servers: int, hit_ratio: float | None
+        self, fleet_limit: float, rate: float, servers: int, hit_ratio: float | None
     ) -> float:
-        """Misses a second that a server tolerates, by the concurrency limit that this node has learned.
+        """Estimates the misses per second that a server tolerates, from this node's concurrency limit.
 
-        By Little's law the calls in flight that hits leave room for are misses, each as long as misses took
-        of late. The limit stays within twice what was usual, so this is what is known to be tolerated, not
-        the most that could be.
+        By Little's law, hits occupy a number of the calls in flight that the limit allows. The remaining
+        calls in flight can be misses, each with the recent mean duration of misses. The limit stays within
+        twice the usual number of calls in flight, so the result is a load that is known to be tolerated, not
+        the maximum.
 
         Args:
-            limit_share: Calls in flight that all nodes together are allowed: this node's limit, as many times
-                as they have more requests.
-            rate: Requests a second of all nodes.
-            servers: How many servers share them.
-            hit_ratio: Of the fleet; None if no answer reported.
+            fleet_limit: Calls in flight allowed to all nodes together: this node's limit, scaled by the ratio
+                of the fleet's request rate to this node's.
+            rate: Requests per second of all nodes.
+            servers: Number of servers that share these requests.
+            hit_ratio: The fleet's hit ratio; None if no response reported hits or misses.
 
         Returns:
-            0 if it is not known.
+            Misses per second and server; 0 if unknown.
         """
         timed = min(self.hit_duration.answers, self.miss_duration.answers)
         if hit_ratio is None or timed < MIN_TIMED_ANSWERS or not servers:
@@ -98,5 +104,5 @@
         hit_s = self.hit_duration.mean_us / US_PER_S
         miss_s = self.miss_duration.mean_us / US_PER_S
         hits_in_flight = rate * hit_ratio / servers * hit_s
-        free = max(0.0, limit_share / servers - hits_in_flight)
-        return free / max(miss_s, MIN_DURATION_S)
+        misses_in_flight = max(0.0, fleet_limit / servers - hits_in_flight)
+        return misses_in_flight / max(miss_s, MIN_DURATION_S)
--- a/loadbalancer/node/features/change_forecaster.py
+++ b/loadbalancer/node/features/change_forecaster.py
@@ -1,6 +1,7 @@
-"""Gathers what a forecast goes by, from the node and the other nodes' reports, and works it out.
+"""Gathers the inputs of a forecast from this node and from the other nodes' reports, and computes it.
 
-The work is done in slices. Each input is read when the work comes to it, so that it is as recent as possible.
+The computation is divided into slices. Each input is read only when the computation needs it, so that it is
+as recent as possible.
 """
 
 from __future__ import annotations
@@ -41,13 +42,13 @@
 
 
 class ChangeForecaster:
-    """Forecasts changes of placement for one node.
+    """Forecasts the effect of placement changes for one node.
 
     Attributes:
-        config: The operators' table in force.
-        accuracy: Of past forecasts.
-        ring_positions: By node: its ring position before a change of the members.
-        latest: The last forecast that was worked out, whether it was given out or not.
+        config: The table `[forecast]` in force.
+        accuracy: The accuracy of past forecasts.
+        ring_positions: Ring positions by node name, as they were before the last change of the members.
+        latest: The last forecast that was computed, including one withheld for low accuracy.
     """
 
     def __init__(
@@ -62,23 +63,25 @@
         self.accuracy = ForecastAccuracy()
         self.ring_positions: dict[str, RingPosition] = {}
         self.latest: Forecast | None = None
-        self._last_digest: KeyDigest | None = None  # for the drift
+        self._last_digest: KeyDigest | None = (
+            None  # the last forecast's digest, for the drift
+        )
         self._last_digest_at = self.node.now()
 
     def note_ring_positions(self) -> None:
-        """Remembers the nodes' ring positions, by those that are live now."""
+        """Stores the ring positions that the currently live nodes have."""
         live = sorted(self.host.live_members())
         self.ring_positions = {
             name: (index, len(live)) for index, name in enumerate(live)
         }
 
     def take_latest(self) -> Forecast | None:
-        """Returns the last forecast that was worked out, once."""
+        """Returns and clears the last forecast that was computed."""
         latest, self.latest = self.latest, None
         return latest
 
     def entries(self) -> list[EndpointEntry]:
-        """The servers that are listed as ready."""
+        """Returns the servers that are listed as ready."""
         endpoint_list = self.node.balancer.subset.endpoint_list
         listed = [
             known
@@ -102,9 +105,12 @@
         """Forecasts a change.
 
         Args:
-            kind: What changes.
-            entries: All servers after it.
-            new: Those of them that were not there before it.
+            kind: The kind of change.
+            entries: All servers after the change.
+            new: Numbers of the servers that the change adds.
+
+        Returns:
+            The computation in slices; its result is the forecast, which is unknown if an input is missing.
         """
         reports: dict[str, NodeKeyReport] = {}
         for owner, report in self.reports.collect():
@@ -112,12 +118,12 @@
             yield
         live = sorted(self.host.live_members())
         fleet = yield from merge_reports(reports)
-        sides = yield from self._traffic(kind, entries, new, (live, fleet))
-        if sides is None:
+        traffic = yield from self._traffic(kind, entries, new, (live, fleet))
+        if traffic is None:
             return unknown_forecast(
-                "the number of shards is not a multiple of what it was"
+                "the new number of shards is not a multiple of the old one"
             )
-        before, after, shard_count = sides
+        before, after, shard_count = traffic
         popularity = yield from estimate_popularity(fleet.digest, shard_count)
         capacity = self._cache_objects(fleet, popularity, before, shard_count)
         yield
@@ -145,24 +151,28 @@
         new: frozenset[int],
         nodes: tuple[list[str], FleetKeys],
     ) -> SlicedWork[tuple[ShardTraffic, ShardTraffic, int] | None]:
-        """The traffic before and after, by the number of shards after.
+        """Computes each shard's traffic before and after the change.
 
         Returns:
-            None if the number of shards is not a multiple of what it was.
+            The traffic before and after, and the number of shards after the change, by which both are
+            divided; None if this number is not a multiple of the number before.
         """
         live, fleet = nodes
         own_size = self.node.balancer.subset.size
         nodes_after = fleet.nodes(live, {}, own_size)
         nodes_before = fleet.nodes(live, self.ring_positions, own_size)
-        old, updated = self._placements(kind)
+        placement_before, placement_after = self._placements(kind)
         kept = [entry for entry in entries if entry.endpoint not in new]
         before = yield from fleet_traffic(
-            entries, kept, nodes_before, old, self._by_zone()
+            entries, kept, nodes_before, placement_before, self._by_zone()
         )
         after = yield from fleet_traffic(
-            entries, entries, nodes_after, updated, self._by_zone()
+            entries, entries, nodes_after, placement_after, self._by_zone()
+        )
+        coarse, fine = (
+            placement_before.table.shard_count,
+            placement_after.table.shard_count,
         )
-        coarse, fine = old.table.shard_count, updated.table.shard_count
         if fine % coarse:
             return None
         if fine != coarse:
@@ -170,20 +180,21 @@
         return before, after, fine
 
     def _by_zone(self) -> bool:
+        """Returns whether requests are kept within their zone."""
         return self.node.balancer.spill.enabled
 
     def _placements(
         self, kind: ChangeKind
     ) -> tuple[PlacementParameters, PlacementParameters]:
-        """How shards are placed before the change and after it."""
+        """Returns how shards are placed before and after the change."""
         shards = self.host.features.get("shards")
         assert isinstance(shards, ShardsFeature)
         target = shards.router.target
-        old = PlacementParameters(target.table, target.replica_count)
+        placement_before = PlacementParameters(target.table, target.replica_count)
         if kind != ChangeKind.SHARDS:
-            return old, old
+            return placement_before, placement_before
         table = DrawTable(shards.config.count)
-        return old, PlacementParameters(table, shards.config.homes)
+        return placement_before, PlacementParameters(table, shards.config.homes)
 
     def _cache_objects(
         self,
@@ -192,7 +203,10 @@
         before: ShardTraffic,
         shard_count: int,
     ) -> float:
-        """Objects that a server's cache holds: as configured, else as the reported hits show."""
+        """Returns the number of objects that a server's cache holds.
+
+        It is taken from the configuration, or else estimated from the reported hit ratio.
+        """
         hit_ratio = fleet.digest.hit_ratio
         if self.config.entries > 0 or hit_ratio is None:
             return self.config.entries
@@ -206,7 +220,7 @@
         capacity: float,
         now: int,
     ) -> list[ServerState]:
-        """What is known of the servers; the caches of new ones are empty."""
+        """Returns the state of all servers; the caches of new servers are empty."""
         cache = ServerCache(
             capacity, self.config.ttl_s, self.config.cacheable_percent / 100
         )
@@ -226,26 +240,29 @@
     def tolerable_misses(
         self, rate: float, servers: int, hit_ratio: float | None
     ) -> float:
-        """Misses a second that a server tolerates, as the concurrency limit shows; 0: not known.
+        """Estimates the misses per second that a server tolerates, from the concurrency limit.
 
         Args:
-            rate: Requests a second of all nodes.
-            servers: How many servers share them.
-            hit_ratio: Of the fleet; None if no answer reported.
+            rate: Requests per second of all nodes.
+            servers: Number of servers that share these requests.
+            hit_ratio: The fleet's hit ratio; None if no response reported hits or misses.
+
+        Returns:
+            Misses per second and server; 0 if unknown.
         """
         own_rate = self.observer.rate(self.node.now())
         if own_rate <= 0:
             return 0.0
-        limit_share = self.node.balancer.limit.allowed() * rate / own_rate
-        return self.observer.tolerable_misses(limit_share, rate, servers, hit_ratio)
+        fleet_limit = self.node.balancer.limit.allowed() * rate / own_rate
+        return self.observer.tolerable_misses(fleet_limit, rate, servers, hit_ratio)
 
     def _silent_fraction(self, reports: dict[str, NodeKeyReport]) -> float:
-        """The part of the nodes that did not report; those of other cells are as those of this one."""
-        near = len(self.host.cell_members())
-        return max(0.0, 1 - len(reports) / near)
+        """Returns the fraction of nodes without a report, assuming that all cells are like this one."""
+        cell_size = len(self.host.cell_members())
+        return max(0.0, 1 - len(reports) / cell_size)
 
     def _drift(self, digest: KeyDigest, now: int) -> float:
-        """The part of popularity that moves in a second, since the last forecast."""
+        """Returns the fraction of popularity that shifts per second, measured since the last forecast."""
         last, last_at = self._last_digest, self._last_digest_at
         self._last_digest, self._last_digest_at = digest, now
         if last is None:
@@ -255,7 +272,7 @@
 
 
 def _age_s(entry: EndpointEntry, now: int) -> float:
-    """Seconds since a server's start, and so since its cache was empty; infinity if it is not known."""
+    """Returns the seconds since a server started with an empty cache; infinity if unknown."""
     if 0 < entry.started_at <= now:
         return (now - entry.started_at) / US_PER_S
     return inf
--- a/loadbalancer/node/features/forecast.py
+++ b/loadbalancer/node/features/forecast.py
@@ -1,8 +1,9 @@
-"""`[forecast]`: forecasts what a change of placement does to cache hits, and decides how the change is made.
+"""Feature `[forecast]`: forecasts how a placement change affects cache hits, and decides how it is made.
 
-`loadbalancer.forecast` decides; here are the clock and the node. This module answers for the feature host;
-`cache_observer` counts, `key_reports` exchanges the counts with other nodes, `change_forecaster` gathers what
-a forecast goes by and `forecast_queue` works it out on the node's loop.
+The decisions are made in `loadbalancer.forecast`; these modules provide the clock and access to the node.
+This module implements the feature, `cache_observer` counts requests and hits, `key_reports` exchanges the
+counts with other nodes, `change_forecaster` gathers the inputs of a forecast and `forecast_queue` computes it
+on the node's event loop.
 """
 
 from __future__ import annotations
@@ -39,36 +40,38 @@
 from loadbalancer.node.upstream.response import Response as Reply
 from loadbalancer.stores.interface import StoreError, StoreLockedError
 
-TICK_S = 1.0
+TICK_S = 1.0  # time between two ticks
 US_PER_S = 1e6
-ACCURACY_RECORD = "forecast"  # in the store
-TICKS_PER_SAVE = 30  # between two writes of it
+ACCURACY_RECORD = (
+    "forecast"  # name of the store's record with the accuracy of past forecasts
+)
+TICKS_PER_SAVE = 30  # ticks between two writes of this record
 
 
 class ForecastUnknownError(LoadBalancerError):
-    """What a change of placement does cannot be forecast; by the rules it waits like the worst of them."""
+    """The effect of a placement change cannot be forecast; the change is treated like the worst case."""
 
     code: ClassVar[str] = "ForecastUnknown"
     remedy: ClassVar[str] = (
-        "see /admin/forecast for what is missing: name [forecast] hit_header or entries, and"
-        " server_misses_per_s; see that [membership] reaches the silent nodes; or set decide = false to let"
-        " changes be made at once"
+        "see /admin/forecast for what is missing: set [forecast] hit_header or entries, and"
+        " server_misses_per_s; check that [membership] reaches the silent nodes; or set decide = false to"
+        " apply changes at once"
     )
 
 
 class ForecastFeature(CoreFeature, MigrationPlanner):
-    """The feature.
+    """Forecasts placement changes, and plans them so that servers are not overloaded with cache misses.
 
     Attributes:
-        config: The operators' table in force.
-        plans: By kind of change: since when it is wanted, and what is to be done.
-        last: The last forecast, as it was given out.
+        config: The table `[forecast]` in force.
+        plans: By kind of change: the time of the request, by the node's clock in microseconds, and the plan.
+        last: The last forecast, as it was published.
     """
 
     name = "forecast"
 
     def on_start(self) -> None:
-        """Starts to count; restores the accuracy of the forecasts before the restart."""
+        """Restores the accuracy of forecasts before the restart, and starts to count requests."""
         self.config = self._table()
         now = self.node.now()
         self.observer = CacheObserver(_window_us(self.config), now)
@@ -101,13 +104,13 @@
         self.reports.config = self.forecaster.config = self.config
 
     def reload(self, operation: OperatorConfig) -> None:
-        """Takes the operators' table in force."""
-        # The host's table is already the new one.
+        """Applies the new operator configuration."""
+        # The host already provides the new table.
         self.config = self._table()
         self._apply_config()
 
     def stop(self, graceful: bool) -> None:
-        """Ends; the accuracy is stored."""
+        """Stops the feature and stores the accuracy of forecasts."""
         if self.timer is not None:
             self.timer.cancel()
         self.queue.stop()
@@ -115,22 +118,22 @@
         self.decides = False
         self.save_accuracy()
 
-    # ---- what the node reports ------------------------------------------------------------------------
+    # ---- events from the node -------------------------------------------------------------------------
 
-    def is_hit(self, answer: Reply) -> bool | None:
-        """Whether an answer came from a cache; None if it does not say."""
-        return answer.hit.lower().startswith(self.hit_value) if answer.hit else None
+    def is_hit(self, response: Reply) -> bool | None:
+        """Returns whether a response came from a cache; None if the response does not report it."""
+        return response.hit.lower().startswith(self.hit_value) if response.hit else None
 
     def on_attempt_end(self, end: AttemptEnd) -> None:
-        """Counts an answer by its key."""
+        """Counts a finished attempt by its key."""
         self.observer.add(end)
 
     def tick(self) -> None:
-        """Each second: judges forecasts, stores the accuracy, exchanges reports."""
+        """Evaluates forecasts, stores their accuracy and sends a report if due; runs every `TICK_S`."""
         self.timer = self.node.loop.call_later(TICK_S, self.tick)
         now = self.node.now()
         self.observer.sample.roll(now)
-        self._judge_forecasts(now)
+        self._evaluate_forecasts(now)
         self.ticks += 1
         if self.ticks % TICKS_PER_SAVE == 0:
             self.save_accuracy()
@@ -139,28 +142,29 @@
                 self.forecaster.note_ring_positions()
             self.reports.send()
 
-    def _judge_forecasts(self, now: int) -> None:
+    def _evaluate_forecasts(self, now: int) -> None:
+        """Compares the tracked forecast with the hits of the current span."""
         observer = self.observer
         if observer.span_answers < MIN_SPAN_ANSWERS:
             return
-        judged = self.accuracy.observe(
+        evaluated = self.accuracy.observe(
             observer.span_started_at, now, observer.span_hits, observer.span_answers
         )
-        for tracked in judged:
+        for tracked in evaluated:
             self.host.log_event("forecast accuracy evaluated", **tracked.table())
-        observer.begin_span(now)
+        observer.start_span(now)
 
     # ---- forecasts ------------------------------------------------------------------------------------
 
     def request_forecast(
         self, kind: ChangeKind, new: frozenset[int], then: ForecastReady
     ) -> None:
-        """Has a change to the listed servers forecast.
+        """Queues the forecast of a change, for the servers that are currently listed.
 
         Args:
-            kind: What changes.
-            new: Servers that were not there before.
-            then: Called with the forecast as it is given out.
+            kind: The kind of change.
+            new: Numbers of the servers that the change adds.
+            then: Called with the forecast as it is published.
         """
         forecaster = self.forecaster
         self.queue.add(forecaster.forecast(kind, forecaster.entries(), new), then)
@@ -172,7 +176,7 @@
         )
 
     def track(self, kind: ChangeKind) -> None:
-        """A change is made: from now on the forecast of it is compared with what is observed."""
+        """Starts to compare the forecast of a change that is being made with the observed hits."""
         forecast = self.forecaster.take_latest()
         if forecast is None or forecast.unknown_reason:
             return
@@ -182,60 +186,60 @@
         if hit_ratio is not None and sum(sample.reported_answers) >= MIN_SPAN_ANSWERS:
             offset = hit_ratio - forecast.hit_ratio_now
         self.accuracy.track(now, kind, forecast, offset)
-        self.observer.begin_span(now)
+        self.observer.start_span(now)
 
     # ---- decisions ------------------------------------------------------------------------------------
 
     def on_change_requested(
         self, change: Change, scope: str, then: Callable[[Answer], None]
     ) -> None:
-        """A change of placement goes at once, in its turn, or waits; all others are allowed."""
+        """Decides whether a placement change is made at once, in turn or later; allows all other changes."""
         if change != Change.PLACEMENT or not self.decides:
             then(ALLOWED)
             return
         kind = _kind_of(scope)
-        wanted_since, plan = self.plans.get(kind, (self.node.now(), None))
+        requested_at, plan = self.plans.get(kind, (self.node.now(), None))
         if plan is not None and not plan.deferred:
-            then(self._answer(kind, wanted_since, plan))
+            then(self._answer(kind, requested_at, plan))
             return
         self.request_forecast(
             kind,
             frozenset(),
-            lambda forecast: then(self._decide(kind, wanted_since, forecast)),
+            lambda forecast: then(self._decide(kind, requested_at, forecast)),
         )
 
     def _decide(
-        self, kind: ChangeKind, wanted_since: int, forecast: Forecast
+        self, kind: ChangeKind, requested_at: int, forecast: Forecast
     ) -> Answer:
-        plan = self.plan_change(kind, wanted_since, forecast)
-        self.plans[kind] = wanted_since, plan
+        plan = self.plan_change(kind, requested_at, forecast)
+        self.plans[kind] = requested_at, plan
         if forecast.unknown_reason and plan.deferred:
             error = ForecastUnknownError(forecast.unknown_reason, kind.value)
             self.host.log_event("forecast change deferred", **error.table())
-        return self._answer(kind, wanted_since, plan)
+        return self._answer(kind, requested_at, plan)
 
     def plan_change(
-        self, kind: ChangeKind, wanted_since: int, forecast: Forecast
+        self, kind: ChangeKind, requested_at: int, forecast: Forecast
     ) -> MigrationPlan:
-        """Decides by a forecast how a change is made.
+        """Decides from a forecast how a change is made.
 
         Args:
-            kind: What changes.
-            wanted_since: Since when it is wanted, by the node's clock (`Node.now`), in microseconds.
-            forecast: What the change does.
+            kind: The kind of change.
+            requested_at: When the change was requested, by the node's clock (`Node.now`), in microseconds.
+            forecast: The forecast of the change.
         """
-        deferred_s = (self.node.now() - wanted_since) / US_PER_S
+        deferred_s = (self.node.now() - requested_at) / US_PER_S
         return plan_migration(self.rules, kind, forecast, deferred_s)
 
     def _answer(
-        self, kind: ChangeKind, wanted_since: int, plan: MigrationPlan
+        self, kind: ChangeKind, requested_at: int, plan: MigrationPlan
     ) -> Answer:
-        """Whether this node may make its part of the change now."""
+        """Returns whether this node may make its part of the change now, or when to ask again."""
         if plan.deferred:
             return Answer(False, f"forecast: {plan.reason}", plan.pause_s)
         if kind == ChangeKind.SUBSETS and plan.steps > 1:
             turn = node_turn(number_of(self.host.name), plan.steps)
-            turn_at_s = wanted_since / US_PER_S + turn * plan.pause_s
+            turn_at_s = requested_at / US_PER_S + turn * plan.pause_s
             left_s = turn_at_s - self.node.now() / US_PER_S
             if left_s > 0:
                 reason = f"forecast: {plan.reason}; this node's turn is {turn + 1} of {plan.steps}"
@@ -245,7 +249,7 @@
     def on_change_made(
         self, change: Change, scope: str, grant: tuple[int, int] | None
     ) -> None:
-        """A change has been made: from now on its forecast is tracked."""
+        """Starts to track the forecast of a placement change that has been made."""
         if change != Change.PLACEMENT:
             return
         kind = _kind_of(scope)
@@ -255,17 +259,17 @@
             self.plans.pop(kind, None)
 
     def take_plan(self, kind: ChangeKind) -> MigrationPlan | None:
-        """How a change that was allowed is to be made, once."""
+        """Returns and clears the plan of a change that was allowed; None if there is none."""
         planned = self.plans.pop(kind, None)
         return planned[1] if planned is not None else None
 
-    def begin_join(self, new: frozenset[int]) -> MigrationSchedule:
-        """Servers have joined: none of their shards move until it is decided how."""
+    def start_pending_join(self, new: frozenset[int]) -> MigrationSchedule:
+        """Handles servers that have joined: no shards move to them until the forecast has been made."""
         join = _PendingJoin(self, new)
         self.node.loop.call_soon(join.review)
         return join.schedule
 
-    # ---- accuracy over restarts, and for operators ----------------------------------------------------
+    # ---- stored accuracy, and admin pages -------------------------------------------------------------
 
     def save_accuracy(self) -> None:
         """Stores the accuracy of past forecasts, if there is any."""
@@ -278,10 +282,11 @@
                 self.host.log_event("forecast accuracy save failed", **error.table())
 
     def restore_accuracy(self) -> None:
-        """Takes on the accuracy that was stored.
+        """Loads the stored accuracy of past forecasts.
 
         Raises:
-            StoreLockedError: The process before this one has not ended yet; the feature starts later.
+            StoreLockedError: The previous process of this node still holds the store; the feature starts
+                later.
         """
         try:
             body = self.host.store().get(ACCURACY_RECORD)
@@ -294,11 +299,11 @@
         except ValueError:
             self.host.log_event(
                 "forecast accuracy corrupt",
-                reason="it cannot be read; a new one begins",
+                reason="the stored accuracy cannot be decoded; starting with an empty one",
             )
 
     def metrics(self) -> dict[str, Any]:
-        """The feature's figures, by the published keys."""
+        """Returns the feature's metrics under their published names."""
         now, sample = self.node.now(), self.observer.sample
         hit_ratio = sample.hit_ratio()
         return {
@@ -310,17 +315,17 @@
             "last": summary(self.last) if self.last is not None else None,
             "plans": {
                 kind.value: {
-                    "waits_s": round((now - wanted_since) / US_PER_S, 1),
+                    "waits_s": round((now - requested_at) / US_PER_S, 1),
                     "steps": plan.steps,
                     "why": plan.reason,
                 }
-                for kind, (wanted_since, plan) in self.plans.items()
+                for kind, (requested_at, plan) in self.plans.items()
             },
             "account": self.accuracy.figures(),
         }
 
     def pages(self) -> dict[str, Callable[[], tuple[bool, dict[str, Any]]]]:
-        """What was forecast lately and what came of it."""
+        """Returns `/admin/forecast`: the recent forecasts, and how they compare with the observed hits."""
         return {"/admin/forecast": self._page}
 
     def _page(self) -> tuple[bool, dict[str, Any]]:
@@ -329,10 +334,13 @@
 
 
 class _PendingJoin:
-    """Servers that have joined and have no shards yet: forecast again and again until they get them.
+    """Servers that have joined and have no shards yet.
+
+    Their change is forecast repeatedly, every `review_s` seconds, until it may start.
 
     Attributes:
-        schedule: The steps in force.
+        schedule: The schedule in force.
+        joined_at: When the servers joined, by the node's clock in microseconds.
     """
 
     def __init__(self, feature: ForecastFeature, new: frozenset[int]) -> None:
@@ -344,7 +352,7 @@
         self.joined_at = now
 
     def review(self) -> None:
-        """Has the change forecast once more."""
+        """Requests another forecast of the change."""
         self.feature.request_forecast(ChangeKind.JOIN, self.new, self._decide)
 
     def _decide(self, forecast: Forecast) -> None:
@@ -372,7 +380,7 @@
 
 
 def summary(forecast: Forecast) -> dict[str, Any]:
-    """A forecast in a line, by the published keys."""
+    """Returns a forecast's main figures under their published names."""
     if forecast.unknown_reason:
         return {"unknown": forecast.unknown_reason}
     return {
--- a/loadbalancer/node/features/key_reports.py
+++ b/loadbalancer/node/features/key_reports.py
@@ -1,4 +1,4 @@
-"""The exchange of key reports among the nodes, as records of the membership."""
+"""Exchanges key reports with other nodes, as replicated records of the membership."""
 
 from __future__ import annotations
 
@@ -17,26 +17,33 @@
 from loadbalancer.node.features.host import NodeFeatureHost
 from loadbalancer.records.interface import MAX_BODY_BYTES, Records
 
-REPORTS_PER_WINDOW = 4
-# Between two reports, at the least: three of them reach everybody by then.
+REPORTS_PER_WINDOW = 4  # reports sent during one window of the key sample
+# Minimum time between two reports; three of them reach all nodes within this time.
 MIN_REPORT_INTERVAL_S = 2.5
-# Before a membership that could not be had is looked for again.
-RECORDS_RETRY_S = 1.0
-TOP_KIND = "keys"
+RECORDS_RETRY_S = (
+    1.0  # wait before the records are requested again if there is no membership
+)
+TOP_KIND = "keys"  # kind of the record with the most requested keys
 
 
 def record_kinds(sample_records: int) -> list[str]:
-    """The kinds of a report's records: the most requested keys, and the parts of the sample."""
+    """Returns the kinds of a report's records.
+
+    The first record holds the most requested keys, the others hold the parts of the sample.
+
+    Args:
+        sample_records: Number of records that the sample is divided into.
+    """
     return [TOP_KIND, *(f"{TOP_KIND}.{index}" for index in range(sample_records))]
 
 
 class KeyReports:
-    """Sends this node's report and reads the others'.
+    """Sends this node's key report and reads the reports of other nodes.
 
     Attributes:
-        config: The operators' table in force.
-        records: The membership's records, once they can be had.
-        received: By owner: the versions of the records that were read, and what they say.
+        config: The table `[forecast]` in force.
+        records: The membership's records; None until they are available.
+        received: The versions of the records last read, and the report in them, by owner.
     """
 
     def __init__(
@@ -46,10 +53,10 @@
         self.config = config
         self.records: Records | None = None
         self.received: dict[str, tuple[tuple[int, ...], NodeKeyReport | None]] = {}
-        self._records_retry_at = self._report_at = 0.0  # by the loop's clock
+        self._records_retry_at = self._report_at = 0.0  # event loop time, in seconds
 
     def is_due(self) -> bool:
-        """Whether a report is to be sent now; looks for the records if they are missing."""
+        """Returns whether to send a report now; requests the records if they are not available yet."""
         now = self.node.loop.time()
         if self.records is None and now >= self._records_retry_at:
             self._records_retry_at = now + RECORDS_RETRY_S
@@ -71,7 +78,7 @@
             self.records.put(kind, body)
 
     def collect(self) -> Iterator[tuple[str, NodeKeyReport]]:
-        """The live nodes' reports by name, this one's own first."""
+        """Yields the name and the report of each live node, starting with this node."""
         own = self.host.name
         yield own, decode_report(self._encode())
         live = set(self.host.live_members())
@@ -98,14 +105,14 @@
     def _read(
         self, records: Records, owner: str, kinds: list[str]
     ) -> NodeKeyReport | None:
-        """A node's last report that could be read, if any."""
+        """Returns a node's last report that could be decoded; None if there is none."""
         parts = [records.get(owner, kind) for kind in kinds]
         versions = tuple(part.version if part is not None else 0 for part in parts)
         known = self.received.get(owner)
         if known is not None and known[0] == versions:
             return known[1]
         report = known[1] if known is not None else None
-        with suppress(KeyRecordError):  # some of them are still on their way
+        with suppress(KeyRecordError):  # some records may not have arrived yet
             report = decode_report([part.body for part in parts if part is not None])
         self.received[owner] = versions, report
         return report
--- a/loadbalancer/node/features/shards.py
+++ b/loadbalancer/node/features/shards.py
@@ -1,8 +1,8 @@
-"""`[shards]`: sends requests for a key to the replicas of its shard first.
+"""Feature `[shards]`: sends requests for a key to the replicas of its shard first.
 
-`forecast.shard_router` says which servers those are and the policy selects among them; here is what a key is
-in a request, and when the members have changed. Replicas are selected by the servers' numbers, which are
-hashes of their names and so the same in all nodes.
+`forecast.shard_router` selects the replicas, and the policy selects among them. This module extracts the key
+from a request and follows changes of the members. Replicas are selected by the servers' numbers, which are
+hashes of their names and therefore the same in all nodes.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 from loadbalancer.policy.api import EndpointState, Idempotency
 from loadbalancer.policy.endpoint_list import ListedEndpoint
 
-STEP_CHECK_S = 0.25  # between two checks whether a step is due
-JOIN_WINDOW_US = 10_000_000  # servers that join within this time are one change
-DEFAULT_WEIGHT = 1.0
-SHARDS_SCOPE = ",shards"  # the end of the scope of a change of shards
+STEP_CHECK_S = 0.25  # time between two checks whether a migration step is due
+JOIN_WINDOW_US = 10_000_000  # servers that join within this time form one change
+DEFAULT_WEIGHT = 1.0  # weight of a server whose own weight is not known
+SHARDS_SCOPE = ",shards"  # suffix of the scope of a change of the shards
 
 
 class ShardsUnsafeError(LoadBalancerError):
-    """A class has a shard key and is not safe to repeat, or is not a class; its requests go as ever."""
+    """A class with a shard key is unknown or not safe to repeat; its requests are sent without shards."""
 
     code: ClassVar[str] = "ShardsUnsafe"
     remedy: ClassVar[str] = (
@@ -44,30 +44,41 @@
 
 
 class MigrationPlanner:
-    """Decides how changes of placement are made: the interface of `ForecastFeature` to this feature.
+    """Decides how placement changes are made; `ForecastFeature` implements this for `ShardsFeature`.
 
     Attributes:
-        decides: Whether it does at present.
+        decides: Whether the planner currently decides; otherwise changes are made at once.
     """
 
     decides = False
 
-    def begin_join(self, new: frozenset[int]) -> MigrationSchedule:
-        """Servers have joined: the schedule to begin with, until `ShardsFeature.start_join` is called."""
+    def start_pending_join(self, new: frozenset[int]) -> MigrationSchedule:
+        """Handles servers that have joined.
+
+        Args:
+            new: Numbers of the servers.
+
+        Returns:
+            The schedule that applies until `ShardsFeature.start_join` is called.
+        """
         raise NotImplementedError
 
     def take_plan(self, kind: ChangeKind) -> MigrationPlan | None:
-        """How a change that was allowed is to be made, once; None: at once."""
+        """Returns and clears the plan of a change that was allowed; None if it is to be made at once."""
         raise NotImplementedError
 
 
 class ShardsFeature(CoreFeature):
-    """The feature.
+    """Routes requests with a shard key, and moves shards when the members or the settings change.
 
     Attributes:
-        config: The operators' table in force.
-        router: The shards' replicas among the members of the subset.
-        joined_at: When the servers were listed that were not in the first list, by number.
+        config: The table `[shards]` in force.
+        table: The table of random draws for the number of shards in force.
+        router: Selects each shard's replicas among the members of the subset.
+        weights: Servers' weights from the endpoint list, by number; empty if they are not comparable.
+        listed: Numbers of the servers that are listed as ready.
+        first_list_complete: Whether the first endpoint list has been received completely.
+        joined_at: Time, in microseconds, when a server was listed after the first list, by number.
     """
 
     name = "shards"
@@ -77,7 +88,8 @@
         self.config = self._table()
         self.table = DrawTable(self.config.count)
         self.router = ShardRouter(self.table, self.config.homes)
-        # The balancer's list of members by which the router was last updated; it is never changed in place.
+        # The balancer's list of members that the router was last updated with. The balancer replaces this
+        # list and never changes it in place, so a change is detected by identity.
         self._routed_members: list[ListedEndpoint] | None = None
         self.weights: dict[int, float] = {}
         self.listed: set[int] = set()
@@ -87,7 +99,7 @@
         self._apply_config()
         self.key_of = self.shard_key
         self.node.on_request = self.host.guarded(
-            self, self.hand_over_with_replicas, False
+            self, self.request_with_replicas, False
         )
 
     def _table(self) -> ShardsTable:
@@ -96,7 +108,7 @@
         return table
 
     def _apply_config(self) -> None:
-        """Notes which part of a request is its key, by the class's name in its path."""
+        """Applies the configuration: the location of each class's key, and the subset's least size."""
         settings = self.node.settings
         idempotency = {
             name: request_class.idempotency
@@ -110,20 +122,25 @@
                 self.key_locations[name.encode()] = location
                 continue
             error = ShardsUnsafeError(
-                f"class {name} has no shards", f"shards.keys.{name}"
+                f"class {name} is excluded: it is not a class that is safe to repeat",
+                f"shards.keys.{name}",
             )
             self.host.log_event("shards class excluded", **error.table())
         self._set_least_members(self.config.members)
 
     def _set_least_members(self, least: int) -> None:
-        """The subset is to be no smaller than that."""
+        """Sets the least size of the node's subset, in servers."""
         if self.node.least_members != least:
             self.node.least_members = least
             self.node.apply_settings(self.node.table.settings)
 
     def reload(self, operation: OperatorConfig) -> None:
-        """Keys hold at once; other shards or replicas are a change of placement, which may have to wait."""
-        # The host's table is already the new one.
+        """Applies the new operator configuration.
+
+        New keys apply at once. A different number of shards or replicas is a placement change, which may
+        have to wait for approval.
+        """
+        # The host already provides the new table.
         before, self.config = self.config, self._table()
         self._apply_config()
         if (before.count, before.homes) != (self.config.count, self.config.homes):
@@ -136,7 +153,7 @@
             )
 
     def stop(self, graceful: bool) -> None:
-        """Ends; requests go as without shards."""
+        """Stops the feature; requests are sent without shards again."""
         if self.timer is not None:
             self.timer.cancel()
         self.node.on_request = None
@@ -145,7 +162,7 @@
             self._set_least_members(0)
 
     def on_list_update(self, update: ListUpdate) -> None:
-        """Notes who has joined, and servers' weights, where they can be compared."""
+        """Records the servers that have joined, and the servers' weights if the settings use them."""
         now = self.node.now()
         for line in update.lines:
             number = number_of(line.id)
@@ -162,20 +179,20 @@
                 (number_of(line.id), line.weight) for line in update.lines
             )
 
-    # ---- a request ------------------------------------------------------------------------------------
+    # ---- requests -------------------------------------------------------------------------------------
 
     def shard_key(self, message: ClientRequest) -> bytes | None:
-        """A request's shard key; None: it has none."""
+        """Returns a request's shard key; None if it has none."""
         path = message.target.partition(b"?")[0].split(b"/")
         location = self.key_locations.get(path[1]) if len(path) > 1 else None
         if location is None:
             return None
-        part, header = location
+        segment, header = location
         if header:
             return message.headers.get(header)
-        return path[part] if part < len(path) else None
+        return path[segment] if segment < len(path) else None
 
-    def hand_over_with_replicas(
+    def request_with_replicas(
         self,
         request: OpenRequest,
         tenant: int,
@@ -183,17 +200,17 @@
         repeat: bool,
         complete: bool,
     ) -> bool:
-        """Hands a request to the policy with its replicas.
+        """Passes a request to the policy together with the replicas of its shard.
 
         Args:
             request: The request.
-            tenant: Its tenant's number.
-            time_left: How long its client waits, in microseconds.
-            repeat: Whether its client marked it as a retry.
-            complete: Whether its body has come.
+            tenant: The tenant's number.
+            time_left: Time until the client's deadline, in microseconds.
+            repeat: Whether the client marked the request as a retry.
+            complete: Whether the request's body has been received.
 
         Returns:
-            Whether it has any replicas.
+            Whether the request was passed on; False if it has no key or no replicas.
         """
         shard_key = self.shard_key(request.message)
         if not shard_key:
@@ -214,7 +231,7 @@
         return bool(replicas)
 
     def replicas_of(self, position: int) -> tuple[int, ...]:
-        """The numbers of the servers that a key goes to now."""
+        """Returns the numbers of the servers that currently hold the shard of a key position."""
         listed = self.node.balancer.subset.listed_members
         if listed is not self._routed_members:
             self._update_members(listed)
@@ -227,7 +244,10 @@
     # ---- changes of the members -----------------------------------------------------------------------
 
     def _update_members(self, listed: list[ListedEndpoint]) -> None:
-        """The subset has changed: who left loses its shards at once, who joined gets them as planned."""
+        """Updates the router with the subset's members.
+
+        A member that has left loses its shards at once; one that has joined receives shards as planned.
+        """
         self._routed_members = listed
         known = {int(name) for name, _ in self.router.members}
         members: list[Member] = [
@@ -235,19 +255,19 @@
             for endpoint in listed
         ]
         new = frozenset(endpoint.id for endpoint in listed) - known
-        self._forget_old_joins()
+        self._remove_old_joins()
         schedule = None
         if new and known and self.planner is not None:
-            schedule = self.planner.begin_join(new | self.joined_at.keys())
+            schedule = self.planner.start_pending_join(new | self.joined_at.keys())
         self.router.update(members, schedule)
         if schedule is not None:
             self.check_steps()
 
-    def _forget_old_joins(self) -> None:
-        """Forgets joins older than JOIN_WINDOW_US.
+    def _remove_old_joins(self) -> None:
+        """Removes joins older than `JOIN_WINDOW_US`.
 
-        Servers that join together land in different nodes' subsets; each node must forecast with all of them
-        as new, or the nodes would plan differently.
+        Servers that join together become members of different nodes' subsets. Every node must forecast with
+        all of them as new, or the nodes would plan differently.
         """
         since = self.node.now() - JOIN_WINDOW_US
         self.joined_at = {
@@ -258,14 +278,18 @@
 
     @property
     def planner(self) -> MigrationPlanner | None:
-        """The feature that decides how changes are made, while there is one that does."""
-        part = self.host.features.get("forecast")
-        return part if isinstance(part, MigrationPlanner) and part.decides else None
+        """The feature that currently decides how changes are made; None if there is none."""
+        feature = self.host.features.get("forecast")
+        return (
+            feature
+            if isinstance(feature, MigrationPlanner) and feature.decides
+            else None
+        )
 
-    # ---- changes in steps -----------------------------------------------------------------------------
+    # ---- migration in steps ---------------------------------------------------------------------------
 
     def change_shards(self) -> None:
-        """Changes the number of shards or replicas, which was allowed: at once or in steps."""
+        """Applies an approved change of the number of shards or replicas, at once or in steps."""
         plan = None
         if self.planner is not None:
             plan = self.planner.take_plan(ChangeKind.SHARDS)
@@ -286,18 +310,19 @@
     def start_join(
         self, schedule: MigrationSchedule, plan: MigrationPlan
     ) -> MigrationSchedule | None:
-        """Goes by a plan for servers that have joined.
+        """Applies a plan for servers that have joined.
 
         Args:
-            schedule: The one in force as far as the planner knows.
-            plan: How the change is made, or for how long it is deferred again.
+            schedule: The schedule that the planner assumes to be in force.
+            plan: How the change is made, or how long it is deferred again.
 
         Returns:
-            The schedule in force from now on; None if another change has replaced this one.
+            The new schedule; None if another change has replaced the assumed schedule.
         """
         if self.router.schedule is not schedule:
             return None
-        # A deferred plan has no steps: the number in force stays. At least 1: shards are dealt out modulo it.
+        # A deferred plan has no steps, so the number of the schedule is kept. It must be at least 1, because
+        # shards are assigned to steps modulo this number.
         started = MigrationSchedule(
             max(1, plan.steps or schedule.steps),
             plan.pause_s,
@@ -315,7 +340,7 @@
         return started
 
     def check_steps(self) -> None:
-        """Makes steps as they are due."""
+        """Advances the migration by a step if one is due; runs every `STEP_CHECK_S` until it is finished."""
         if self.timer is not None:
             self.timer.cancel()
         self.timer = None
@@ -330,7 +355,7 @@
             self.timer = self.node.loop.call_later(STEP_CHECK_S, self.check_steps)
 
     def metrics(self) -> dict[str, object]:
-        """The feature's figures, by the published keys."""
+        """Returns the feature's metrics under their published names."""
         schedule, selector = self.router.schedule, self.node.balancer.selector
         target = self.router.target
         return {
