--- a/loadbalancer/node/features/cells.py
+++ b/loadbalancer/node/features/cells.py
@@ -121,7 +121,7 @@
         self.published: TimedSummary | None = None  # content of this reporter's record
         self.fleet: TimedSummary | None = None
         self.fleet_record: RecordVersion | None = None
-        self.live_members: list[str] = []  # of this cell
+        self.live_members: list[str] = []  # live members of this cell
         self.live_reporters: list[str] = []  # the reporters among `live_members`
         self.counters = CellsCounters()
         self.rejected = Counter[str]()
--- a/loadbalancer/node/features/cells_page.py
+++ b/loadbalancer/node/features/cells_page.py
@@ -1,4 +1,4 @@
-"""The admin page and the counters of cells: this cell, the fleet's summary, and at a collector each cell."""
+"""Tables for the admin page of cells, and the counters of the feature `[cells]`."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from loadbalancer.cells.summarize import HEALTH_STATES
 
 US_PER_S = 1e6
-# Of a message, and not of what it says.
+# Fields that describe the encoding of a message, not its content.
 UNPUBLISHED_FIELDS = ("form", "layout")
 
 
 @dataclass(slots=True)
 class CellsCounters:
-    """Messages on the channel, and polls of the own discovery.
+    """Counts messages on the channel, and polls of this node's own discovery.
 
     Attributes:
         reports_sent: Summaries sent to collectors.
-        report_bytes_sent: Their bytes.
+        report_bytes_sent: Size of these summaries in bytes.
         replies_sent: Replies sent by this collector.
-        reply_bytes_sent: Their bytes.
-        reports_received: Summaries that this collector took.
-        polls: Polls of the own discovery that other cells' lists have caused.
+        reply_bytes_sent: Size of these replies in bytes.
+        reports_received: Summaries that this collector has accepted.
+        polls: Polls of the own discovery because other cells hold a later list.
     """
 
     reports_sent: int = 0
@@ -37,7 +37,7 @@
     polls: int = 0
 
     def metrics(self) -> dict[str, int]:
-        """The counts under their published names."""
+        """Returns the counts under their published names."""
         return {
             "told": self.reports_sent,
             "told_bytes": self.report_bytes_sent,
@@ -49,7 +49,7 @@
 
 
 def summary_table(summary: CellSummary | FleetSummary) -> dict[str, Any]:
-    """A summary with its fields named."""
+    """Returns a summary's fields by name, as published."""
     table = msgspec.structs.asdict(summary)
     table["fronts"] = [msgspec.structs.asdict(front) for front in summary.fronts]
     table["standings"] = {
@@ -64,7 +64,7 @@
 
 
 def cell_table(cell: CellState, now_us: int) -> dict[str, Any]:
-    """A cell as its collector knows it; ages in seconds."""
+    """Returns a cell's state as its collector knows it; ages in seconds."""
     return {
         "unheard": cell.is_silent,
         "at_odds": cell.is_disagreeing,
@@ -81,5 +81,5 @@
 
 
 def age_s(since_us: int, now_us: int) -> float:
-    """Seconds between two times in microseconds, as published."""
+    """Returns the seconds between two times in microseconds, rounded as published."""
     return round((now_us - since_us) / US_PER_S, 1)
--- a/loadbalancer/node/features/endpoint_lines.py
+++ b/loadbalancer/node/features/endpoint_lines.py
@@ -25,7 +25,9 @@
 from loadbalancer.policy.api import EndpointState, ListUpdateKind
 from loadbalancer.transports.interface import Address, Transport
 
-SEND_RATE_BYTES_PER_S = 256_000  # to all outdated peers together
+SEND_RATE_BYTES_PER_S = (
+    256_000  # total rate at which parts are sent to all outdated peers
+)
 SEND_BURST_BYTES = SEND_RATE_BYTES_PER_S / 4
 MAX_AGENT_RESPONSE_BYTES = 1 << 20
 AGENT_PART_LINES = (
@@ -161,7 +163,7 @@
         if self._collector is not None and is_due:
             self._request_parts(now_us)
 
-    # ---- the own list, to peers -----------------------------------------------------------------------
+    # ---- this node's list to peers --------------------------------------------------------------------
 
     def send_parts(
         self,
--- a/loadbalancer/node/features/membership.py
+++ b/loadbalancer/node/features/membership.py
@@ -1,4 +1,4 @@
-"""Features `[membership]`, and `[spread]`: this node's ring position among the live members."""
+"""Features `[membership]`, which joins the cluster, and `[spread]`, which sets this node's ring position."""
 
 from __future__ import annotations
 
@@ -16,11 +16,15 @@
 if TYPE_CHECKING:
     from loadbalancer.node.features.weight_updates import WeightUpdates
 
-TIMER_MARGIN_S = 0.001  # by which a timer comes after the position is due
+TIMER_MARGIN_S = 0.001  # delay of the timer after a position becomes due
 
 
 class MembershipFeature(CoreFeature):
-    """`[membership]`: this node takes part; it starts again under other settings."""
+    """Takes part in the membership; changed settings restart the feature.
+
+    Attributes:
+        members: Runs the membership protocol.
+    """
 
     name = "membership"
     needs_peers = True
@@ -49,47 +53,52 @@
         self.host.on_members_changed()
 
     def _start_fields(self) -> dict[str, Any]:
-        """The control listener's address, for the log line of the start."""
+        """Returns the control listener's address, for the log line of the start."""
         control, listener = self.node.config.control, self.node.control
         if not control or not listener:
             return {}
         return {"control": f"{control[0]}:{listener.port}"}
 
     def reload(self, operation: OperatorConfig) -> None:
-        """Takes over the layout of cells."""
+        """Applies the layout of cells."""
         cells = operation.cells
         self.members.set_layout(cells.layout() if cells is not None else None)
 
     def stop(self, graceful: bool) -> None:
-        """Ends the membership; with `graceful` the node leaves the cluster."""
+        """Stops the membership; with `graceful` the node leaves the cluster."""
         self.members.stop(graceful)
         self.host.members = None
 
     def metrics(self) -> dict[str, Any]:
-        """The membership's counts, and this node's ring position among the live members."""
+        """Returns the membership's counts, and this node's ring position among the live members."""
         return {**self.members.metrics(), "place": self.node.ring}
 
     def pages(self) -> Any:
-        """The admin page of all members."""
+        """Returns the admin page of all members."""
         return {"/admin/membership": self.members.table}
 
 
 class SpreadFeature(CoreFeature):
-    """`[spread]`: the servers are shared out among the live members."""
+    """Divides the servers among the live members, by the node's ring position and optional weights.
+
+    Attributes:
+        tracker: Derives the ring position from the live members.
+        requested_ring: The ring position last requested, which may still wait for approval.
+        weight_updates: The weight updates; None while they are off.
+    """
 
     name = "spread"
 
     def on_start(self) -> None:
-        """Starts to follow the members, and the weight updates where they are on."""
+        """Starts to track the members, and starts the weight updates if they are on."""
         self.timer: asyncio.TimerHandle | None = None
-        # The position that is due: in force, or still waiting to be allowed.
         self.requested_ring = self.node.ring
         self.weight_updates: WeightUpdates | None = None
         self._restart_tracker()
         self._apply_weights_setting()
 
     def _restart_tracker(self) -> None:
-        """Follows the members from the start, by the rules in force."""
+        """Creates a new tracker with the rules in force."""
         config = self.host.operator_config().spread
         assert config is not None
         name = self.node.config.name
@@ -97,7 +106,7 @@
         self.on_members_changed()
 
     def reload(self, operation: OperatorConfig) -> None:
-        """Takes over other rules, and whether weights are on."""
+        """Applies changed rules, and starts or stops the weight updates."""
         if (
             operation.spread is not None
             and operation.spread.rules() != self.tracker.rules
@@ -106,11 +115,11 @@
         self._apply_weights_setting()
 
     def _apply_weights_setting(self) -> None:
-        """Starts or stops the weight updates, as the operators set it."""
+        """Starts or stops the weight updates according to `[spread] weights`."""
         config = self.host.operator_config().spread
         assert config is not None
         if config.weights and self.weight_updates is None:
-            # Imported here: the membership alone needs none of it.
+            # Imported here because the membership alone does not need it.
             from loadbalancer.node.features.weight_updates import WeightUpdates
 
             self.weight_updates = WeightUpdates(self, self.host)
@@ -119,13 +128,13 @@
             weight_updates.stop()
 
     def metrics(self) -> dict[str, Any] | None:
-        """The figures of the weight updates; None while they are off."""
+        """Returns the metrics of the weight updates; None while they are off."""
         return (
             self.weight_updates.metrics() if self.weight_updates is not None else None
         )
 
     def stop(self, graceful: bool) -> None:
-        """Ends the spreading; the position that the platform gave holds again."""
+        """Stops the feature; the ring position from the platform's settings applies again."""
         if self.weight_updates is not None:
             self.weight_updates.stop()
         if self.timer is not None:
@@ -135,12 +144,12 @@
             self._move_to(None)
 
     def on_members_changed(self) -> None:
-        """Takes note of the live members."""
+        """Updates the tracker with the live members, and requests a new position if one is due."""
         self.tracker.update_members(self.node.now(), self.host.live_members())
         self._request_due_position()
 
     def _request_due_position(self) -> None:
-        """Requests the move to the position that is due, and looks again when the next one is."""
+        """Requests the move to the position that is due, and sets a timer for the next one."""
         position = self.tracker.position(self.node.now())
         ring = (position.index, position.count) if position is not None else None
         if ring != self.requested_ring:
@@ -148,22 +157,22 @@
             if ring == self.node.ring:
                 self.host.change_approval.withdraw("place")
             else:
-                scope, stays = self.host.scope(), "the old place stays"
+                scope, fallback = self.host.scope(), "the old position stays"
                 self.host.change_approval.apply_when_approved(
                     "place",
                     (Change.PLACEMENT,),
                     lambda: self._move_to(ring),
                     scope,
-                    stays,
+                    fallback,
                 )
         due_at = self.tracker.due_at()
-        # A timer that runs already may come too early; it looks again then.
+        # A timer that is already set may fire too early; it is set again then.
         if due_at is not None and self.timer is None:
             delay_s = max(0, due_at - self.node.now()) / 1e6 + TIMER_MARGIN_S
             self.timer = self.node.loop.call_later(delay_s, self._on_timer)
 
     def _move_to(self, ring: tuple[int, int] | None) -> None:
-        """Uses a ring position, `(index, count)`; None: the one that the platform gave."""
+        """Applies a ring position, `(index, count)`; None stands for the one in the platform's settings."""
         node = self.node
         if ring != node.ring:
             node.ring = ring
--- a/loadbalancer/node/features/records.py
+++ b/loadbalancer/node/features/records.py
@@ -1,7 +1,8 @@
 """Hosts the replicated records (`loadbalancer.records`) on a channel of the membership's port.
 
-Made when the first feature asks for records, and stopped with the membership. The table decides; the channel,
-one timer at the table's next deadline and the monotonic clock are here.
+The host is created when the first feature requests the records, and stopped with the membership. The record
+table makes the decisions; this module provides the channel, one timer for the table's next deadline and the
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 
 
 class RecordsHost:
-    """One node's records; features see them as `records.interface.Records`.
+    """One node's replicated records; features use them through `records.interface.Records`.
 
     Args:
         name: This member's name.
-        seed: Of the table's random draws.
-        channel: Opens a channel of the membership's port by its tag and its receiver.
+        seed: Seed of the table's random numbers.
+        channel: Opens a channel on the membership's port, given its tag and its receiver.
     """
 
     def __init__(
@@ -42,19 +43,19 @@
         self.table = RecordTable(name, seed, now_us=monotonic_us())
         self.timer: asyncio.TimerHandle | None = None
         self.timer_due_us = 0
-        self.channel = channel(CHANNEL_TAG, self.received)
+        self.channel = channel(CHANNEL_TAG, self.receive)
 
     def put(self, kind: str, body: bytes) -> None:
-        """Writes this node's own record; an empty body withdraws it.
+        """Writes this node's own record of a kind; an empty body withdraws it.
 
         Raises:
-            ValueError: The body or the kind is out of bounds, or there are too many kinds.
+            ValueError: The body or the kind exceeds its limits, or the node has too many kinds.
         """
         if self.table.put(monotonic_us(), kind, body):
             self._send([])
 
     def get(self, owner: str, kind: str) -> Record | None:
-        """Returns one record, or None if it is not known."""
+        """Returns an owner's record of a kind; None if it is not known."""
         return self.table.get(owner, kind)
 
     def of(self, kind: str) -> Sequence[Record]:
@@ -62,22 +63,26 @@
         return self.table.of(kind)
 
     def set_live_members(self, live: Mapping[str, Address]) -> None:
-        """The membership has changed: `live` are the addresses of its live members by name."""
+        """Applies a change of the membership; `live` holds the addresses of the live members by name."""
         self.table.set_live_members(monotonic_us(), live)
         self._send([])
 
     def change_group(self, mark: bytes) -> None:
-        """Prepares for other members, by the layout of this mark; see `RecordTable.change_group`."""
+        """Changes the group of members that records come from; see `RecordTable.change_group`.
+
+        Args:
+            mark: Identifies the layout that determines the group.
+        """
         self._send(self.table.change_group(monotonic_us(), mark))
 
     def stop(self) -> None:
-        """Closes the channel; nothing more is sent."""
+        """Stops the timer and closes the channel; no further datagrams are sent."""
         if self.timer is not None:
             self.timer.cancel()
         self.channel.close()
 
     def metrics(self) -> dict[str, Any]:
-        """Returns the totals for the node's figures."""
+        """Returns the table `records` of the membership's metrics."""
         table, owners = self.table, self.table.replicas.owners
         return {
             "owners": len(owners),
@@ -91,7 +96,7 @@
             **table.counters.as_metrics(),
         }
 
-    def received(self, data: bytes, source: Address) -> None:
+    def receive(self, data: bytes, source: Address) -> None:
         """Handles a datagram of the channel."""
         self._send(self.table.receive(monotonic_us(), data, source))
 
@@ -101,7 +106,7 @@
             self.channel.send(send.data, send.address)
         deadline_us = self.table.next_deadline()
         if self.timer is not None and deadline_us >= self.timer_due_us:
-            return  # the timer wakes before it, and is set anew then
+            return  # the timer fires earlier and is set again then
         if self.timer is not None:
             self.timer.cancel()
         self.timer_due_us = deadline_us
@@ -109,7 +114,7 @@
         self.timer = asyncio.get_running_loop().call_later(delay_s, self.on_timer)
 
     def on_timer(self) -> None:
-        """Ticks the table if its deadline has come."""
+        """Ticks the table if its deadline has passed, and sets the next timer."""
         self.timer = None
         now_us = monotonic_us()
         is_due = now_us >= self.table.next_deadline()
--- a/loadbalancer/node/features/version_announcer.py
+++ b/loadbalancer/node/features/version_announcer.py
@@ -1,4 +1,4 @@
-"""Versions that the node acts on, and who is told of them: every feature, once for each new version."""
+"""Announces the versions that the node acts on to every feature, once for each new version."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
     from loadbalancer.node.config import Config
     from loadbalancer.node.features.host import NodeFeatureHost
 
-# Settings that stand for this node alone: nodes that differ in them act on the same file.
+# Settings that differ from node to node. They are left out of the digest, so that nodes that act on the same
+# file announce the same digest.
 NODE_SETTINGS = frozenset(("self_index", "zone"))
-# The same in the operators' file: the environment overrides these addresses.
+# Settings of the operator configuration that differ likewise, because the environment overrides them.
 NODE_MEMBERSHIP = {"listen": "", "advertise": ""}
-PROGRAM_NUMBER_BASE = 1_000  # of a place in the program's version
-DIGEST_BYTES = 8
+PROGRAM_NUMBER_BASE = (
+    1_000  # radix in which the components of the program's version form one number
+)
+DIGEST_BYTES = 8  # length of a digest
 
 
 class VersionAnnouncer:
-    """Announces versions to all features while one of them follows them.
+    """Announces versions to all features while at least one feature subscribes to versions.
 
     Attributes:
-        in_force: The last version announced of each source.
+        in_force: The last version announced, by source.
     """
 
     def __init__(self, host: NodeFeatureHost) -> None:
@@ -36,7 +39,7 @@
         self.in_force: dict[VersionSource, Version] = {}
 
     def announce(self, version: Version) -> None:
-        """Tells all features of a version, unless it was the last one of its source."""
+        """Announces a version to all features, unless it equals the last one of its source."""
         if self.in_force.get(version.source) == version:
             return
         self.in_force[version.source] = version
@@ -44,7 +47,7 @@
             self.host.run_guarded(feature, feature.on_version, version)
 
     def restart(self) -> None:
-        """Announces all that is in force, as the first feature that follows versions starts."""
+        """Announces all versions in force, when the first feature that subscribes to versions starts."""
         self.in_force.clear()
         self._announce_program()
         self.announce_settings(self.host.node.config)
@@ -53,13 +56,13 @@
 
     def _announce_program(self) -> None:
         number = 0
-        for place in loadbalancer.__version__.split("."):
-            number = number * PROGRAM_NUMBER_BASE + int(place)
+        for component in loadbalancer.__version__.split("."):
+            number = number * PROGRAM_NUMBER_BASE + int(component)
         digest = digest_of(loadbalancer.__version__)
         self.announce(Version(VersionSource.PROGRAM, "", number, digest))
 
     def announce_settings(self, config: Config) -> None:
-        """Announces the platform's settings, if they are other ones than before."""
+        """Announces the platform's settings, if they have changed."""
         if not self.host.events.has_followers:
             return
         settings = config.filed.get("settings") or {}
@@ -70,12 +73,12 @@
         self._announce_file(VersionSource.SETTINGS, "platform", content)
 
     def announce_operator_config(self, operator_config: OperatorConfig | None) -> None:
-        """Announces the operator configuration, if it is another one than before."""
+        """Announces the operator configuration, if it has changed."""
         if not self.host.events.has_followers or operator_config is None:
             return
         shared = msgspec.to_builtins(operator_config)
         if shared["cells"] is None:
-            # The digest is the same as that of programs which do not know this table.
+            # Without this table the digest equals that of releases that do not know the table.
             del shared["cells"]
         if shared.get("membership"):
             shared["membership"] |= NODE_MEMBERSHIP
@@ -83,14 +86,14 @@
         self._announce_file(VersionSource.OPERATION, "operators", content)
 
     def _announce_file(self, source: VersionSource, origin: str, content: str) -> None:
-        """Announces a file whose content has changed; its number is the count of reloads."""
+        """Announces a file if its content has changed; the version's number is the count of reloads."""
         digest, last = digest_of(content), self.in_force.get(source)
         if last is None or last.digest != digest:
             number = self.host.node.metrics.sighup_applied
             self.announce(Version(source, origin, number, digest))
 
     def announce_members(self) -> None:
-        """Announces the live members as this node sees them, if they are others than before."""
+        """Announces the live members as this node sees them, if they have changed."""
         if not self.host.events.has_followers or self.host.members is None:
             return
         digest = digest_of("\n".join(sorted(self.host.live_members())))
@@ -103,6 +106,6 @@
 
 
 def digest_of(text: str) -> str:
-    """The digest of a content, 16 hex digits."""
+    """Returns the digest of a text, 16 hex digits."""
     data = text.encode(errors="surrogatepass")
     return blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
--- a/loadbalancer/node/features/weight_updates.py
+++ b/loadbalancer/node/features/weight_updates.py
@@ -80,7 +80,7 @@
         self.reports: dict[str, RateReport] = {}
         self.factors: dict[int, float] = {}
         self.target_factors: dict[int, float] = {}
-        self.inputs: ComputationInputs | None = None  # of the last computation
+        self.inputs: ComputationInputs | None = None  # inputs of the last computation
         self.computation: Iterator[dict[int, float] | None] | None = None
         self.last_computation_us = self.spent_us = 0
         self.rest_until = 0  # earliest start of the next computation, in monotonic us
@@ -175,7 +175,7 @@
                 self.versions[record.owner] = record.version
                 try:
                     self.reports[record.owner] = decode(record.body)
-                except ValueError:  # from another release; the mean rate is assumed
+                except ValueError:  # sent by another release; the mean rate is assumed
                     self.reports.pop(record.owner, None)
             fresh += not record.stale and record.owner in self.reports
         # A member that is no longer live, or has withdrawn its report, selects without weights; its rate
