--- a/tests/test_forecast_part.py
+++ b/tests/test_forecast_part.py
@@ -1,4 +1,4 @@
-"""Shards and the forecast as parts of a real node on loopback."""
+"""Tests the features `[shards]` and `[forecast]` on a real node with servers on loopback."""
 
 from __future__ import annotations
 
@@ -37,48 +37,48 @@
 KEYS = {"view": "header x-item", "invite": "header x-item"}
 
 
-class Keeper(Server):
-    """A server that keeps what it has answered, and tells of hits."""
+class CachingServer(Server):
+    """A server with an unbounded cache, which reports hits and misses in a header."""
 
     def __init__(self) -> None:
         super().__init__(self.answer)
         self.keys: list[str] = []
-        self.kept: set[str] = set()
+        self.cached: set[str] = set()
 
     async def answer(
         self, request: Request, writer: asyncio.StreamWriter
     ) -> bytes | None:
         key = request.headers.get("x-item", "")
         self.keys.append(key)
-        how = b"HIT" if key in self.kept else b"MISS"
-        self.kept.add(key)
+        result = b"HIT" if key in self.cached else b"MISS"
+        self.cached.add(key)
         return (
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Cache: %b from cache\r\n\r\nok"
-            % how
+            % result
         )
 
 
-def operation(count: int = 64, homes: int = 1, **wishes: Any) -> OperatorConfig:
+def operation(count: int = 64, homes: int = 1, **forecast_table: Any) -> OperatorConfig:
     shards = {"count": count, "homes": homes, "members": 8, "keys": KEYS}
     table: dict[str, Any] = {"shards": shards}
-    if wishes:
-        table["forecast"] = {"hit_header": "X-Cache", **wishes}
+    if forecast_table:
+        table["forecast"] = {"hit_header": "X-Cache", **forecast_table}
     return build(table, "operator.toml")
 
 
-async def started(wish: OperatorConfig | None, *servers: Server) -> Bench:
+async def started(config: OperatorConfig | None, *servers: Server) -> Bench:
     bench = Bench(*servers, config={"control": "127.0.0.1:0"})
-    node_of = Node.__init__
+    original_init = Node.__init__
     try:
-        Node.__init__ = lambda node, config, loop, _=None: node_of(
-            node, config, loop, wish
+        Node.__init__ = lambda node, node_config, loop, _=None: original_init(
+            node, node_config, loop, config
         )  # type: ignore[method-assign, assignment, misc]
         return await bench.start()
     finally:
-        Node.__init__ = node_of  # type: ignore[method-assign]
+        Node.__init__ = original_init  # type: ignore[method-assign]
 
 
-def parts(bench: Bench) -> tuple[ShardsFeature, ForecastFeature | None]:
+def features(bench: Bench) -> tuple[ShardsFeature, ForecastFeature | None]:
     assert bench.node.feature_host is not None
     shards, forecast = (
         bench.node.feature_host.features.get(t) for t in ("shards", "forecast")
@@ -87,12 +87,14 @@
     return shards, forecast if isinstance(forecast, ForecastFeature) else None
 
 
-async def ask(bench: Bench, client: Client, number: int, klass: str = "view") -> None:
-    status, _, _ = await client.ask(call(klass, extra=b"X-Item: k%d\r\n" % number))
+async def ask(
+    bench: Bench, client: Client, number: int, class_name: str = "view"
+) -> None:
+    status, _, _ = await client.ask(call(class_name, extra=b"X-Item: k%d\r\n" % number))
     assert status == 200
 
 
-def where(servers: list[Keeper]) -> dict[str, set[int]]:
+def servers_by_key(servers: list[CachingServer]) -> dict[str, set[int]]:
     found: dict[str, set[int]] = {}
     for i, server in enumerate(servers):
         for key in server.keys:
@@ -100,16 +102,16 @@
     return found
 
 
-def test_each_key_goes_to_its_home_and_hits_are_seen() -> None:
+def test_each_key_goes_to_its_replica_and_hits_are_counted() -> None:
     async def scene() -> None:
-        servers = [Keeper() for _ in range(4)]
+        servers = [CachingServer() for _ in range(4)]
         bench = await started(operation(decide=False), *servers)
         client = await bench.client()
         for n in [*range(40)] * 3:
             await ask(bench, client, n)
-        assert all(len(at) == 1 for at in where(servers).values())
+        assert all(len(at) == 1 for at in servers_by_key(servers).values())
         assert sum(bool(s.keys) for s in servers) == 4
-        shards, forecast = parts(bench)
+        shards, forecast = features(bench)
         assert forecast is not None
         assert shards.metrics()["at_home"] == 120
         figures = forecast.metrics()
@@ -120,8 +122,10 @@
     play(scene)
 
 
-def test_the_parts_of_a_first_long_list_are_no_servers_that_join() -> None:
-    def news(number: int, kind: ListUpdateKind, more: bool, *names: str) -> ListUpdate:
+def test_servers_in_later_parts_of_the_first_list_do_not_count_as_joined() -> None:
+    def list_update(
+        number: int, kind: ListUpdateKind, more: bool, *names: str
+    ) -> ListUpdate:
         lines = tuple(
             Line(n, "127.0.0.1", 9, "here", "std", 0, EndpointState.READY, 1.0, 0)
             for n in names
@@ -131,13 +135,13 @@
         )
 
     async def scene() -> None:
-        bench = await started(operation(), Keeper())
-        shards, _ = parts(bench)
+        bench = await started(operation(), CachingServer())
+        shards, _ = features(bench)
         shards.listed, shards.first_list_complete = set(), False
-        shards.on_list_update(news(1, ListUpdateKind.FULL, True, "a", "b"))
-        shards.on_list_update(news(1, ListUpdateKind.FULL, False, "c"))
+        shards.on_list_update(list_update(1, ListUpdateKind.FULL, True, "a", "b"))
+        shards.on_list_update(list_update(1, ListUpdateKind.FULL, False, "c"))
         assert not shards.joined_at
-        shards.on_list_update(news(2, ListUpdateKind.CHANGES, False, "a", "d"))
+        shards.on_list_update(list_update(2, ListUpdateKind.CHANGES, False, "a", "d"))
         assert set(shards.joined_at) == {number_of("d")}
 
     play(scene)
@@ -147,30 +151,32 @@
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     async def scene() -> None:
-        servers = [Keeper() for _ in range(4)]
+        servers = [CachingServer() for _ in range(4)]
         bench = await started(operation(), *servers)
         client = await bench.client()
         for _ in range(30):
             await ask(bench, client, 1, "invite")
-        assert len(where(servers)["k1"]) > 1
-        assert parts(bench)[0].metrics()["at_home"] == 0
+        assert len(servers_by_key(servers)["k1"]) > 1
+        assert features(bench)[0].metrics()["at_home"] == 0
 
     play(scene)
-    said = capfd.readouterr().err
-    assert "ShardsUnsafe" in said
-    assert "shards.keys.invite" in said
+    log = capfd.readouterr().err
+    assert "ShardsUnsafe" in log
+    assert "shards.keys.invite" in log
 
 
-def test_other_shards_are_taken_up_at_once_where_the_forecast_decides_nothing() -> None:
+def test_a_new_number_of_shards_applies_at_once_where_the_forecast_does_not_decide() -> (
+    None
+):
     async def scene() -> None:
-        bench = await started(operation(decide=False), Keeper(), Keeper())
+        bench = await started(operation(decide=False), CachingServer(), CachingServer())
         bench.node.reload(bench.node.config, operation(count=128, decide=False))
-        await until(lambda: parts(bench)[0].metrics()["count"] == 128)
+        await until(lambda: features(bench)[0].metrics()["count"] == 128)
 
     play(scene)
 
 
-def test_an_unknown_holds_a_change_of_shards_up_and_the_longest_wait_ends_it(
+def test_an_unknown_forecast_defers_a_change_of_shards_until_the_longest_wait(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     rules = {
@@ -183,9 +189,12 @@
 
     async def scene() -> None:
         bench = await started(
-            operation(longest_wait_s=1.0, **rules), Keeper(), Keeper(), Keeper()
+            operation(longest_wait_s=1.0, **rules),
+            CachingServer(),
+            CachingServer(),
+            CachingServer(),
         )
-        shards, forecast = parts(bench)
+        shards, forecast = features(bench)
         assert forecast is not None
         client = await bench.client()
         for n in range(20):
@@ -203,12 +212,12 @@
         await until(lambda: not shards.router.is_migrating())
 
     play(scene)
-    said = capfd.readouterr().err
-    assert "ForecastUnknown" in said
-    assert "too few requests" in said
+    log = capfd.readouterr().err
+    assert "ForecastUnknown" in log
+    assert "too few requests" in log
 
 
-def test_servers_that_join_get_their_shards_in_steps_and_one_that_drains_loses_them_at_once() -> (
+def test_joining_servers_get_shards_in_steps_and_a_draining_one_loses_them_at_once() -> (
     None
 ):
     rules = {
@@ -220,24 +229,25 @@
     }
 
     async def scene() -> None:
-        servers = [Keeper() for _ in range(6)]
+        servers = [CachingServer() for _ in range(6)]
         bench = await started(operation(longest_wait_s=0.5, **rules), *servers[:4])
-        shards, _ = parts(bench)
+        shards, _ = features(bench)
         client = await bench.client()
         for n in range(40):
             await ask(bench, client, n)
-        before = where(servers)
-        for late in servers[4:]:
-            await late.start()
+        before = servers_by_key(servers)
+        for joining in servers[4:]:
+            await joining.start()
         lines = [s.entry(f"s{i}") for i, s in enumerate(servers)]
         lines[0]["state"] = "draining"
         bench.discovery.say(42, True, *lines)
         await until(lambda: len(bench.node.balancer.subset.members) == 5)
-        told = {i: len(s.keys) for i, s in enumerate(servers)}
+        key_counts = {i: len(s.keys) for i, s in enumerate(servers)}
         for n in range(40):
             await ask(bench, client, n)
-        # Nothing waits for the one that drains; what the others had stays, as nothing is known yet.
-        assert len(servers[0].keys) == told[0]
+        # The draining server loses its shards without delay. The other servers keep theirs, because the
+        # forecast of the join is still unknown.
+        assert len(servers[0].keys) == key_counts[0]
         moved = [
             n
             for n in range(40)
@@ -253,9 +263,9 @@
     play(scene)
 
 
-def test_other_nodes_records_are_heard_and_silent_ones_are_counted() -> None:
+def test_reports_of_other_nodes_are_read_and_missing_ones_widen_the_forecast() -> None:
     class Table:
-        """Records of others, as the membership would hold them."""
+        """The records of other nodes, with the interface of the membership's records."""
 
         def __init__(self) -> None:
             self.lines: dict[tuple[str, str], Record] = {}
@@ -269,7 +279,7 @@
         def of(self, kind: str) -> list[Record]:
             return [r for (_, k), r in sorted(self.lines.items()) if k == kind]
 
-    def tell(table: Table, owner: str, base: int, version: int = 1) -> None:
+    def put_report(table: Table, owner: str, base: int, version: int = 1) -> None:
         sample = KeySample(10**9, 0)
         for n in range(500):
             sample.add((base + n * 7_919_317) % POSITION_COUNT)
@@ -283,43 +293,44 @@
     async def scene() -> None:
         bench = await started(
             operation(decide=True, entries=50, server_misses_per_s=1e6),
-            Keeper(),
-            Keeper(),
+            CachingServer(),
+            CachingServer(),
         )
-        _, forecast = parts(bench)
+        _, forecast = features(bench)
         assert forecast is not None
         table = Table()
         forecast.reports.records = table  # type: ignore[assignment]
         live = ["n0", "n1", "n2", "n3"]
         bench.node.feature_host.live_members = lambda: live  # type: ignore[method-assign, union-attr]
-        for owner in ("n1", "n2", "n9"):  # n3 says nothing, n9 is dead
-            tell(table, owner, 5)
-        heard = dict(forecast.reports.collect())
-        assert set(heard) == {"n0", "n1", "n2"}
-        assert heard["n1"].subset_size == 9
+        for owner in ("n1", "n2", "n9"):  # n3 sends no report, n9 is dead
+            put_report(table, owner, 5)
+        reports = dict(forecast.reports.collect())
+        assert set(reports) == {"n0", "n1", "n2"}
+        assert reports["n1"].subset_size == 9
         table.lines["n1", "keys.0"] = Record("n1", "keys.0", 2, b"nonsense")
         assert (
             dict(forecast.reports.collect())["n1"].digest.requests == 500
-        )  # what was heard before holds
+        )  # the last report that could be decoded is kept
         answers: list[Answer] = []
         forecast.on_change_requested(Change.PLACEMENT, "tier=0", answers.append)
         await until(lambda: bool(answers))
         assert forecast.last is not None
         assert not forecast.last.unknown_reason
         assert answers[0].allowed
-        assert forecast.last.margin > 0.08  # a quarter of the nodes is silent
+        assert forecast.last.margin > 0.08  # a quarter of the nodes sent no report
         del table.lines["n1", "keys"], table.lines["n2", "keys"]
         forecast.plans.clear()
         forecast.on_change_requested(Change.PLACEMENT, "tier=0", answers.append)
         await until(lambda: len(answers) == 2)
         assert not answers[1].allowed
         assert "not heard" in answers[1].reason
-        # In cells only the own cell's records come: who is heard of these stands for all.
+        # With cells only records of the own cell arrive; the fraction of reports missing in this cell is
+        # taken for the entire fleet.
         many = [*live, *(f"x{i}" for i in range(40))]
         bench.node.feature_host.live_members = lambda: many  # type: ignore[method-assign, union-attr]
         bench.node.feature_host.cell_members = lambda: ["n0", "n1", "n2"]  # type: ignore[method-assign, union-attr]
         for owner in ("n1", "n2"):
-            tell(table, owner, 5, 3)
+            put_report(table, owner, 5, 3)
         forecast.plans.clear()
         forecast.on_change_requested(Change.PLACEMENT, "tier=0", answers.append)
         await until(lambda: len(answers) == 3)
@@ -329,10 +340,12 @@
     play(scene)
 
 
-def test_what_servers_bear_is_learned_from_the_limit() -> None:
+def test_tolerable_misses_are_estimated_from_the_concurrency_limit() -> None:
     async def scene() -> None:
-        bench = await started(operation(decide=True, entries=50), Keeper(), Keeper())
-        _, forecast = parts(bench)
+        bench = await started(
+            operation(decide=True, entries=50), CachingServer(), CachingServer()
+        )
+        _, forecast = features(bench)
         assert forecast is not None
         own = 100.0
         forecast.observer.sample.current.requests = int(own * 10)
@@ -347,7 +360,8 @@
             duration.mean_us, duration.answers = mean_us, 100
         bench.node.balancer.limit.measuring = False
         bench.node.balancer.limit.limit = 30.0
-        # 30 calls in flight at ten servers: three each; hits hold 0.01 of one, misses last 0.02 s
+        # 30 calls in flight at ten servers are three for each. Hits occupy 0.01 of them, and a miss takes
+        # 0.02 s.
         assert forecast.forecaster.tolerable_misses(own, 10, 0.5) == pytest.approx(
             (3 - 0.01) / 0.02, rel=0.02
         )
@@ -358,10 +372,10 @@
     play(scene)
 
 
-def test_the_account_is_shown_and_kept(capfd: pytest.CaptureFixture[str]) -> None:
+def test_the_accuracy_is_shown_and_stored(capfd: pytest.CaptureFixture[str]) -> None:
     async def scene() -> None:
-        bench = await started(operation(decide=False), Keeper())
-        _, forecast = parts(bench)
+        bench = await started(operation(decide=False), CachingServer())
+        _, forecast = features(bench)
         assert forecast is not None
         assert bench.node.control is not None
         forecast.accuracy.restore({"place": [[0.3], True, 0, 1, 1]})
@@ -381,9 +395,9 @@
     play(scene)
 
 
-def test_a_running_node_takes_shards_on_and_lets_them_go() -> None:
+def test_shards_can_be_enabled_and_disabled_on_a_running_node() -> None:
     async def scene() -> None:
-        bench = await started(build({}, "f"), Keeper())
+        bench = await started(build({}, "f"), CachingServer())
         client = await bench.client()
         await ask(bench, client, 1)
         assert bench.node.balancer.selector.preferred_taken == 0
@@ -399,7 +413,7 @@
     play(scene)
 
 
-def test_without_shards_nothing_of_them_is_imported() -> None:
+def test_without_shards_their_modules_are_not_imported() -> None:
     code = (
         "import sys, loadbalancer.node.node, loadbalancer.node.features.host\n"
         "import loadbalancer.config.operator_config\n"
