--- a/loadbalancer/node/features/cache_observer.py
+++ b/loadbalancer/node/features/cache_observer.py
@@ -7,9 +7,8 @@
 from loadbalancer.node.features.feature import AttemptEnd
 from loadbalancer.policy.api import Outcome
 
-MIN_TIMED_ANSWERS = (
-    50  # hits, and also misses, that are needed before their mean duration is used
-)
+# Hits, and also misses, that are needed before their mean duration is used.
+MIN_TIMED_ANSWERS = 50
 DURATION_SMOOTHING = 0.01  # weight of the newest duration in the mean
 MIN_DURATION_S = 1e-6  # avoids a division by zero
 US_PER_S = 1e6
--- a/loadbalancer/node/features/cells.py
+++ b/loadbalancer/node/features/cells.py
@@ -58,9 +58,8 @@
 CHANNEL_TAG = 8
 KIND = "fleet"  # kind of the record in which a reporter publishes the fleet's summary to its cell
 SUMMARY_CACHE_US = 500_000  # how long a collector reuses a summary that it has computed
-LOG_INTERVAL_US = (
-    60_000_000  # minimum time between two log lines with the same rejection reason
-)
+# Minimum time between two log lines with the same rejection reason.
+LOG_INTERVAL_US = 60_000_000
 # Each period lasts between 0.75 and 1.25 times the configured period.
 JITTER_BASE_RATIO, JITTER_SPAN_RATIO = 0.75, 0.5
 SEED_BITS = 32  # size of the discovery poller's random seed
--- a/loadbalancer/node/features/change_forecaster.py
+++ b/loadbalancer/node/features/change_forecaster.py
@@ -63,9 +63,8 @@
         self.accuracy = ForecastAccuracy()
         self.ring_positions: dict[str, RingPosition] = {}
         self.latest: Forecast | None = None
-        self._last_digest: KeyDigest | None = (
-            None  # the last forecast's digest, for the drift
-        )
+        # The last forecast's digest, for the drift.
+        self._last_digest: KeyDigest | None = None
         self._last_digest_at = self.node.now()
 
     def note_ring_positions(self) -> None:
--- a/loadbalancer/node/features/endpoint_lines.py
+++ b/loadbalancer/node/features/endpoint_lines.py
@@ -25,14 +25,12 @@
 from loadbalancer.policy.api import EndpointState, ListUpdateKind
 from loadbalancer.transports.interface import Address, Transport
 
-SEND_RATE_BYTES_PER_S = (
-    256_000  # total rate at which parts are sent to all outdated peers
-)
+# Total rate at which parts are sent to all outdated peers.
+SEND_RATE_BYTES_PER_S = 256_000
 SEND_BURST_BYTES = SEND_RATE_BYTES_PER_S / 4
 MAX_AGENT_RESPONSE_BYTES = 1 << 20
-AGENT_PART_LINES = (
-    50  # lines of an agent's response that are read without yielding to the event loop
-)
+# Lines of an agent's response that are read without yielding to the event loop.
+AGENT_PART_LINES = 50
 PART_RETRY_US = 150_000  # wait before parts that have not arrived are requested again
 US_PER_S = 1e6
 LIST_PATH = "/v1/endpoints"
--- a/loadbalancer/node/features/forecast.py
+++ b/loadbalancer/node/features/forecast.py
@@ -42,9 +42,8 @@
 
 TICK_S = 1.0  # time between two ticks
 US_PER_S = 1e6
-ACCURACY_RECORD = (
-    "forecast"  # name of the store's record with the accuracy of past forecasts
-)
+# Name of the store's record with the accuracy of past forecasts.
+ACCURACY_RECORD = "forecast"
 TICKS_PER_SAVE = 30  # ticks between two writes of this record
 
 
--- a/loadbalancer/node/features/key_reports.py
+++ b/loadbalancer/node/features/key_reports.py
@@ -20,9 +20,8 @@
 REPORTS_PER_WINDOW = 4  # reports sent during one window of the key sample
 # Minimum time between two reports; three of them reach all nodes within this time.
 MIN_REPORT_INTERVAL_S = 2.5
-RECORDS_RETRY_S = (
-    1.0  # wait before the records are requested again if there is no membership
-)
+# Wait before the records are requested again if there is no membership.
+RECORDS_RETRY_S = 1.0
 TOP_KIND = "keys"  # kind of the record with the most requested keys
 
 
--- a/loadbalancer/node/features/known_endpoints.py
+++ b/loadbalancer/node/features/known_endpoints.py
@@ -253,9 +253,8 @@
         if line.state == EndpointState.READY:
             is_unknown = state is None and number not in self._departed
             if not is_unknown or not self._is_complete or origin != self.origin:
-                return (
-                    None  # a known endpoint, in any state, is left to the own discovery
-                )
+                # A known endpoint, in any state, is left to the own discovery.
+                return None
             self.names[number] = line.id
             return replace(line, started=now)
         if state is not None and SAFE_ORDER[line.state] <= SAFE_ORDER[state]:
--- a/loadbalancer/node/features/membership_host.py
+++ b/loadbalancer/node/features/membership_host.py
@@ -34,9 +34,8 @@
 # A node that starts in a fleet of 300 others logs 300 member changes at once.
 MAX_LOG_LINES_PER_S = 1000
 BIND_RETRY_S = 0.2  # wait between two attempts to bind the socket
-CENSUS_MAX_AGE_US = (
-    10_000_000  # an older census is counted again, even if no member has changed
-)
+# An older census is counted again, even if no member has changed.
+CENSUS_MAX_AGE_US = 10_000_000
 US_PER_S = 1e6
 
 
@@ -335,9 +334,8 @@
         view = self.view()
         rows = [self._row(member, now_us) for member in view]
         if rows:
-            rows[0]["age_s"] = (
-                0.0  # this node's information on itself is always current
-            )
+            # This node's information on itself is always current.
+            rows[0]["age_s"] = 0.0
         return self.swim is not None, {"members": rows, **self.metrics()}
 
     def _row(self, member: Member, now_us: int) -> dict[str, Any]:
--- a/loadbalancer/node/features/version_announcer.py
+++ b/loadbalancer/node/features/version_announcer.py
@@ -21,9 +21,8 @@
 NODE_SETTINGS = frozenset(("self_index", "zone"))
 # Settings of the operator configuration that differ likewise, because the environment overrides them.
 NODE_MEMBERSHIP = {"listen": "", "advertise": ""}
-PROGRAM_NUMBER_BASE = (
-    1_000  # radix in which the components of the program's version form one number
-)
+# Radix in which the components of the program's version form one number.
+PROGRAM_NUMBER_BASE = 1_000
 DIGEST_BYTES = 8  # length of a digest
 
 
--- a/loadbalancer/node/features/weight_updates.py
+++ b/loadbalancer/node/features/weight_updates.py
@@ -32,9 +32,8 @@
 SLICE_US = 500  # processor time of one slice of a computation
 SLICE_PAUSE_S = 0.002  # pause between two slices
 REST_RATIO = 100  # pause between two computations, as a multiple of the time that the last one took
-NARROWING_RATIO = (
-    0.6  # the least size is reduced once the required one is below this fraction of it
-)
+# The least size is reduced once the required one is below this fraction of it.
+NARROWING_RATIO = 0.6
 
 
 @dataclass(frozen=True, slots=True)
