--- a/loadbalancer/simulator.py
+++ b/loadbalancer/simulator.py
@@ -1,7 +1,8 @@
-"""Hosts policy instances on the simulator's wire: batches of events on standard input, actions on output.
+"""Runs policy instances for the simulator: reads batches of events on stdin, writes actions to stdout.
 
-It decides nothing. Times on the wire are microseconds, numbers are little-endian. A frame that cannot be
-read ends the process with status 2 and one line on standard error.
+The module only translates between the wire protocol and the policy; it decides nothing itself. Times on the
+wire are in microseconds, numbers are little-endian. A frame that cannot be parsed ends the process with
+exit status 2 and one line on standard error.
 """
 
 from __future__ import annotations
@@ -46,81 +47,126 @@
     read_floats,
 )
 
-# Frames: the header of a batch, and the length of its reply.
-HEADER = Struct("<IIQ")
-LENGTH = Struct("<I")
-LEAST_LENGTH = 8  # of a batch, whose length counts its clock
+# Header of a batch: number of events, length in bytes, and time in microseconds.
+BATCH_HEADER = Struct("<IIQ")
+REPLY_LENGTH = Struct("<I")  # bytes of actions that follow
+# The length of a batch counts the 8 bytes of its time, which the header holds, and the events.
+MIN_BATCH_BYTES = 8
 
 
 def read_settings(text: bytes) -> Settings:
-    """The settings of a CREATE event. A missing or impossible value is a SettingsError that names the key."""
+    """Parses the settings of a CREATE event.
+
+    Args:
+        text: The settings object, as JSON.
+
+    Raises:
+        FrameError: The text is not JSON.
+        SettingsError: A value is missing or invalid; the error names its key.
+    """
     try:
-        env = json.loads(text)
+        settings = json.loads(text)
     except (ValueError, RecursionError) as e:
         raise FrameError(f"settings are not JSON: {e}") from None
-    return settings_of(env)
+    return settings_of(settings)
 
 
 class Host:
-    """The instances of one process. Nothing passes between them but the numbered lists of the wire."""
+    """The policy instances of one process.
+
+    Instances share nothing but the endpoint lists that the simulator sends once and refers to by number.
+    Each event method parses one event from `body` at `offset`, delivers it to the instance that it names, and
+    returns the offset after it. `now` is the time of the batch in microseconds.
+
+    Attributes:
+        reply: Actions of the current batch, as they go out.
+        instances: The running instances, by number.
+        endpoint_lists: Endpoint lists received so far, by number.
+    """
 
     def __init__(self) -> None:
-        """Starts without an instance."""
-        self.out = bytearray()
-        self.nodes: dict[int, Balancer] = {}
-        self.lists: dict[int, list[EndpointEntry]] = {}
-
-    def batch(self, count: int, body: bytes, now: int) -> bytes:
-        """Handles one batch and returns the framed reply."""
-        self.out.clear()
+        """Creates a host without instances."""
+        self.reply = bytearray()
+        self.instances: dict[int, Balancer] = {}
+        self.endpoint_lists: dict[int, list[EndpointEntry]] = {}
+
+    def handle_batch(self, count: int, body: bytes, now: int) -> bytes:
+        """Processes one batch of events.
+
+        Args:
+            count: Number of events in the batch.
+            body: The events, one after another.
+            now: Time of the batch in microseconds.
+
+        Returns:
+            The resulting actions, after their length in bytes.
+
+        Raises:
+            FrameError: The body does not hold exactly `count` complete events of known codes.
+        """
+        self.reply.clear()
         offset = 0
-        for record in range(count):
+        for index in range(count):
             try:
                 code = body[offset]
-                reader = READERS[code]
+                reader = EVENT_READERS[code]
             except IndexError:
-                raise FrameError(f"record {record}: batch ends early") from None
+                raise FrameError(
+                    f"event {index}: batch ends early, before its event code"
+                ) from None
             except KeyError:
                 raise FrameError(
-                    f"record {record} at byte {offset}: unknown event code {body[offset]}"
+                    f"event {index} at byte {offset}: unknown event code {body[offset]}"
                 ) from None
             try:
                 offset = reader(self, now, body, offset + 1)
             except struct.error:
                 raise FrameError(
-                    f"record {record} at byte {offset}: event {code} is cut short"
+                    f"event {index} at byte {offset}: event with code {code} is cut short"
                 ) from None
         if offset != len(body):
-            raise FrameError(f"{len(body) - offset} bytes after the last record")
-        return LENGTH.pack(len(self.out)) + self.out
+            raise FrameError(
+                f"{len(body) - offset} unexpected bytes after the last event of the batch"
+            )
+        return REPLY_LENGTH.pack(len(self.reply)) + self.reply
+
+    def deliver(self, instance: int, event: str, *args: Any) -> None:
+        """Calls an instance's event method; events for an instance that is not running are ignored.
 
-    def deliver(self, node: int, event: str, *args: Any) -> None:
-        """Passes an event on; an exception in the policy becomes the wire's fault action."""
-        balancer = self.nodes.get(node)
+        An exception in the policy removes the instance and is reported to the simulator as a fault action.
+
+        Args:
+            instance: Number of the instance.
+            event: Name of the `Balancer` method to call.
+            *args: Arguments of that method.
+        """
+        balancer = self.instances.get(instance)
         if balancer is None:
             return
         try:
             getattr(balancer, event)(*args)
-        except Exception as e:  # the wire wants any failure of the policy reported
-            del self.nodes[node]
-            WireActions(self.out, node).fault(f"{event}: {type(e).__name__}: {e}")
+        except Exception as e:  # any failure of the policy is reported
+            del self.instances[instance]
+            WireActions(self.reply, instance).fault(f"{event}: {type(e).__name__}: {e}")
 
     def create(self, now: int, body: bytes, offset: int) -> int:
-        """An instance begins, with settings and a seed."""
-        node, seed, size = CREATE.unpack_from(body, offset)
+        """Creates and starts an instance with its settings and random seed."""
+        instance, seed, size = CREATE.unpack_from(body, offset)
         offset += CREATE.size
         text = read_bytes(body, offset, size)
-        balancer = Balancer(read_settings(text), seed, WireActions(self.out, node))
-        self.nodes[node] = balancer
-        self.deliver(node, "start", now)
+        balancer = Balancer(
+            read_settings(text), seed, WireActions(self.reply, instance)
+        )
+        self.instances[instance] = balancer
+        self.deliver(instance, "start", now)
         return offset + int(size)
 
     def endpoint_list(self, now: int, body: bytes, offset: int) -> int:
-        """A numbered list of endpoints, for later events."""
+        """Stores a numbered endpoint list that later events refer to."""
         number, count = DIRECTORY.unpack_from(body, offset)
         offset += DIRECTORY.size
         raw = read_bytes(body, offset, count * ENTRY.size)
-        self.lists[number] = [
+        self.endpoint_lists[number] = [
             EndpointEntry(
                 server,
                 STATES.get(state, EndpointState.DRAINING),
@@ -137,26 +183,28 @@
         return offset + int(count) * ENTRY.size
 
     def list_update(self, now: int, body: bytes, offset: int) -> int:
-        """An update of the endpoint list, by the number of a list."""
-        node, kind, _, number = TARGETS.unpack_from(body, offset)
+        """Delivers an endpoint list update, whose entries are given by the number of a stored list."""
+        instance, kind, _, number = TARGETS.unpack_from(body, offset)
         if kind >= len(LIST_KINDS):
-            raise FrameError(f"unknown list kind {kind}")
+            raise FrameError(
+                f"kinds of list updates are 0 to 3; unknown list kind {kind}"
+            )
         list_kind = LIST_KINDS[kind]
         entries: list[EndpointEntry] = []
         if list_kind != ListUpdateKind.FAILED:
-            if number not in self.lists:
-                raise FrameError(f"list {number} was never sent")
-            entries = self.lists[number]
-        self.deliver(node, "update_endpoints", now, list_kind, entries)
+            if number not in self.endpoint_lists:
+                raise FrameError(f"endpoint list {number} is used before it was sent")
+            entries = self.endpoint_lists[number]
+        self.deliver(instance, "update_endpoints", now, list_kind, entries)
         return offset + TARGETS.size
 
     def request(self, now: int, body: bytes, offset: int) -> int:
-        """A request."""
-        node, request, _, tenant, flags, time_left, _, class_index = ACCEPT.unpack_from(
-            body, offset
+        """Delivers a client request."""
+        instance, request, _, tenant, flags, time_left, _, class_index = (
+            ACCEPT.unpack_from(body, offset)
         )
         self.deliver(
-            node,
+            instance,
             "request",
             now,
             request,
@@ -168,17 +216,19 @@
         return offset + ACCEPT.size
 
     def client_disconnected(self, now: int, body: bytes, offset: int) -> int:
-        """A request's client has gone."""
-        node, request = CLIENT_LEFT.unpack_from(body, offset)
-        self.deliver(node, "client_disconnected", now, request)
+        """Delivers the disconnect of a request's client."""
+        instance, request = CLIENT_LEFT.unpack_from(body, offset)
+        self.deliver(instance, "client_disconnected", now, request)
         return offset + CLIENT_LEFT.size
 
     def health_checked(self, now: int, body: bytes, offset: int) -> int:
-        """The answer to a health check."""
-        node, latency, status, server, count = CHECK_RESULT.unpack_from(body, offset)
+        """Delivers the result of a health check, with the server's reported values."""
+        instance, latency, status, server, count = CHECK_RESULT.unpack_from(
+            body, offset
+        )
         offset += CHECK_RESULT.size
         self.deliver(
-            node,
+            instance,
             "health_checked",
             now,
             server,
@@ -189,38 +239,42 @@
         return offset + 4 * int(count)
 
     def response_started(self, now: int, body: bytes, offset: int) -> int:
-        """An answer has begun."""
-        node, request, attempt, server, latency = OPENED.unpack_from(body, offset)
-        self.deliver(node, "response_started", now, request, attempt, server, latency)
+        """Delivers the start of the response to an attempt."""
+        instance, request, attempt, server, latency = OPENED.unpack_from(body, offset)
+        self.deliver(
+            instance, "response_started", now, request, attempt, server, latency
+        )
         return offset + OPENED.size
 
     def timer(self, now: int, body: bytes, offset: int) -> int:
-        """A timer is due."""
-        node, token = WAKE.unpack_from(body, offset)
-        self.deliver(node, "timer", now, token)
+        """Delivers an expired timer."""
+        instance, token = WAKE.unpack_from(body, offset)
+        self.deliver(instance, "timer", now, token)
         return offset + WAKE.size
 
-    def end(self, now: int, body: bytes, offset: int) -> int:
-        """An instance ends."""
-        (node,) = SHUTDOWN.unpack_from(body, offset)
-        self.nodes.pop(node, None)
+    def stop(self, now: int, body: bytes, offset: int) -> int:
+        """Removes an instance."""
+        (instance,) = SHUTDOWN.unpack_from(body, offset)
+        self.instances.pop(instance, None)
         return offset + SHUTDOWN.size
 
     def peer_message(self, now: int, body: bytes, offset: int) -> int:
-        """A message from another instance."""
-        node, peer, size = PEER_DATA.unpack_from(body, offset)
+        """Delivers a message from another instance."""
+        instance, peer, size = PEER_DATA.unpack_from(body, offset)
         offset += PEER_DATA.size
-        self.deliver(node, "peer_message", now, peer, read_bytes(body, offset, size))
+        self.deliver(
+            instance, "peer_message", now, peer, read_bytes(body, offset, size)
+        )
         return offset + int(size)
 
     def outcome(self, now: int, body: bytes, offset: int) -> int:
-        """The outcome of an attempt."""
-        node, request, attempt, latency, server, final, status, count = (
+        """Delivers the outcome of an attempt, with the values that the server reported, if any."""
+        instance, request, attempt, latency, server, final, status, count = (
             VERDICT.unpack_from(body, offset)
         )
         offset += VERDICT.size
         self.deliver(
-            node,
+            instance,
             "outcome",
             now,
             request,
@@ -234,7 +288,8 @@
         return offset + 4 * int(count)
 
 
-READERS = {
+# Event methods by the event code on the wire.
+EVENT_READERS = {
     1: Host.endpoint_list,
     2: Host.timer,
     3: Host.request,
@@ -243,17 +298,22 @@
     6: Host.create,
     7: Host.list_update,
     8: Host.outcome,
-    9: Host.end,
+    9: Host.stop,
     10: Host.response_started,
     11: Host.client_disconnected,
 }
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
-    """So many bytes of the input.
+    """Reads exactly `size` bytes.
+
+    Args:
+        stream: The input.
+        size: Number of bytes to read.
+        what: What the bytes are, for the error.
 
     Raises:
-        FrameError: The input ends before; `what` was being read.
+        FrameError: The input ends before `size` bytes.
     """
     data = stream.read(size)
     if len(data) != size:
@@ -262,22 +322,33 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends."""
+    """Processes batches and writes a reply to each until the input ends.
+
+    Args:
+        source: Batches of events.
+        sink: Receives the replies; flushed after each one.
+
+    Raises:
+        LoadBalancerError: A batch is malformed; the error names its index.
+    """
     host = Host()
     batch = 0
     while True:
-        first = source.read(1)
-        if not first:
+        first_byte = source.read(1)
+        if not first_byte:
             return
         where = f"batch {batch}"
-        count, size, now = HEADER.unpack(
-            first + read_exactly(source, HEADER.size - 1, where + " header")
+        count, size, now = BATCH_HEADER.unpack(
+            first_byte + read_exactly(source, BATCH_HEADER.size - 1, where + " header")
         )
-        if size < LEAST_LENGTH:
-            raise FrameError(f"length {size} is too short", f"{where} header")
-        body = read_exactly(source, size - LEAST_LENGTH, where)
+        if size < MIN_BATCH_BYTES:
+            raise FrameError(
+                f"length {size} is too short; it must count the 8 bytes of the batch's time",
+                f"{where} header",
+            )
+        body = read_exactly(source, size - MIN_BATCH_BYTES, where)
         try:
-            reply = host.batch(count, body, now)
+            reply = host.handle_batch(count, body, now)
         except LoadBalancerError as e:
             raise e.within(where) from None
         sink.write(reply)
@@ -286,7 +357,7 @@
 
 
 def main() -> int:
-    """Serves standard input; the exit status is 2 for an error, 1 if nobody reads the output."""
+    """Serves standard input; returns exit status 2 for an error and 1 if the output has been closed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except LoadBalancerError as e:
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -356,8 +356,8 @@
     columns = len((env["report"] or {}).get("columns", ()))
     for number, c in enumerate(env["classes"]):
         host = Host()
-        host.batch(3, create(env) + members(servers=(11, 12, 13)), 0)
-        reply = host.batch(1, accept(klass=number, left=250_000), 1000)
+        host.handle_batch(3, create(env) + members(servers=(11, 12, 13)), 0)
+        reply = host.handle_batch(1, accept(klass=number, left=250_000), 1000)
         if reply[:1] != b"\x41":
             assert reply[4:5] == b"\x41", reply
         server = struct.unpack_from("<I", reply, 15)[0]
@@ -365,7 +365,7 @@
             struct.pack("<BHQBIIBHB", 8, 3, 1, 0, 900, server, 0, 502, columns)
             + b"\0\0\0\0" * columns
         )
-        reply = host.batch(1, error, 1900)
+        reply = host.handle_batch(1, error, 1900)
         again = reply[4:5] == b"\x41"
         assert not again or c["effect"] in (SAFE, KEYED)
         assert again or reply[4:5] in (
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -99,10 +99,10 @@
 def test_an_outcome_with_a_report_is_read_to_its_end():
     verdict = struct.pack("<BHQBIIBHB2f", 8, 3, 1, 0, 900, 11, 0, 502, 2, 1.0, 2.0)
     host = Host()
-    host.batch(3, create() + members(servers=(11,)), 0)
-    host.batch(1, accept(klass=1), 0)
+    host.handle_batch(3, create() + members(servers=(11,)), 0)
+    host.handle_batch(1, accept(klass=1), 0)
     assert (
-        host.batch(1, verdict, 900)[4] == 67
+        host.handle_batch(1, verdict, 900)[4] == 67
     )  # an unknown effect counts as unsafe: failed
 
 
@@ -174,7 +174,7 @@
     "unknown code": (frame(b"\xc8"), "unknown event code 200"),
     "cut record": (struct.pack("<IIQ", 1, 10, 0) + b"\x02\x00", "cut short"),
     "too few records": (struct.pack("<IIQ", 1, 8, 0), "ends early"),
-    "bytes left over": (struct.pack("<IIQ", 0, 9, 0) + b"\0", "after the last record"),
+    "bytes left over": (struct.pack("<IIQ", 0, 9, 0) + b"\0", "after the last event"),
     "bad json": (frame(create(b"{nope")), "not JSON"),
     "missing key": (
         frame(create({k: v for k, v in ENV.items() if k != "group_size"})),
@@ -286,11 +286,13 @@
     replies = []
     for node in nodes:
         replies.append(
-            host.batch(3, create(env, node) + members(node, servers=(11, 12, 13)), 0)
+            host.handle_batch(
+                3, create(env, node) + members(node, servers=(11, 12, 13)), 0
+            )
         )
     for i in range(60):
         for node in nodes:
-            reply = host.batch(1, accept(node, i, klass=i % 2), 1000 * i)
+            reply = host.handle_batch(1, accept(node, i, klass=i % 2), 1000 * i)
             replies.append(reply)
             if reply[4:5] == b"\x41":
                 server = struct.unpack_from("<I", reply, 15)[0]
@@ -298,7 +300,7 @@
                 verdict = struct.pack(
                     "<BHQBIIBHB", 8, node, i, 0, 900, server, status == 200, status, 0
                 )
-                replies.append(host.batch(1, verdict, 1000 * i + 900))
+                replies.append(host.handle_batch(1, verdict, 1000 * i + 900))
     return replies
 
 
