--- a/loadbalancer/cli/fault.py
+++ b/loadbalancer/cli/fault.py
@@ -197,7 +197,7 @@
     finally:
         proxy.close()
     click.echo(
-        f"fault: {proxy.forwarded} passed on, {proxy.lost} lost, {proxy.strays} strays",
+        f"fault: {proxy.forwarded} passed on, {proxy.lost} lost, {proxy.unknown_senders} strays",
         err=True,
     )
 
--- a/loadbalancer/fault/__init__.py
+++ b/loadbalancer/fault/__init__.py
@@ -1,9 +1,10 @@
-"""Fault injection between loopback sockets: delay, pace, cut, freeze, split and corrupt what passes.
+"""Fault injection between loopback sockets: delays, paces, cuts, freezes, splits and corrupts traffic.
 
-* Connections: `script` reads the fault injection rules, `stream_injector` decides byte by byte and does no
-  I/O, `proxy` and `proxied_connection` do it to sockets, `control` takes commands while it runs.
-* Datagrams: `datagram_rules` and `datagram_plan` decide, `datagram_proxy` does it to UDP and
+* Connections: `script` reads the fault injection rules, `stream_injector` decides what happens to each byte
+  and does no I/O, `proxy` and `proxied_connection` apply the faults to sockets, and `control` accepts
+  commands while the proxy runs.
+* Datagrams: `datagram_rules` and `datagram_plan` decide, `datagram_proxy` applies the faults to UDP and
   `faulty_transport` to any transport.
 
-The node imports none of this.
+The node does not import this package.
 """
--- a/loadbalancer/fault/address.py
+++ b/loadbalancer/fault/address.py
@@ -1,4 +1,4 @@
-"""Loopback addresses: the fault tool joins sockets of one machine only."""
+"""Loopback addresses: the fault tool connects sockets of one machine only."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from loadbalancer.errors import LoadBalancerError
 
 MAX_PORT = 65_535
-DEFAULT_HOST = "127.0.0.1"
+DEFAULT_HOST = "127.0.0.1"  # where a text has a port only
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host, as an IP address, and port
 
 
 class AddressError(LoadBalancerError, ValueError):
-    """An address for the fault tool that is not HOST:PORT in numbers."""
+    """An address for the fault tool that is not a numeric HOST:PORT."""
 
     remedy: ClassVar[str] = (
         "write HOST:PORT in numbers, such as 127.0.0.1:8080 or [::1]:8080"
@@ -22,19 +22,23 @@
 
 
 class NotLoopbackError(AddressError):
-    """An address for the fault tool that another machine could reach."""
+    """An address for the fault tool that other machines could reach."""
 
     code: ClassVar[str] = "NotLoopback"
     remedy: ClassVar[str] = (
-        "take an address of 127.0.0.0/8 or ::1, on the machine where the tool runs"
+        "use an address in 127.0.0.0/8 or ::1, on the machine where the tool runs"
     )
 
 
 def parse_loopback(text: str) -> Address:
-    """Reads `127.0.0.1:8080` or `[::1]:8080`.
+    """Parses a loopback address such as `127.0.0.1:8080` or `[::1]:8080`.
+
+    Args:
+        text: The address; without a host it is on 127.0.0.1.
 
     Raises:
-        AddressError: It is no address, or not of this machine alone.
+        AddressError: The text is not a numeric HOST:PORT, or the port is out of range.
+        NotLoopbackError: The host is not a loopback address.
     """
     host, _, port_text = text.rpartition(":")
     host = host.strip("[]") or DEFAULT_HOST
@@ -42,11 +46,14 @@
         is_loopback = ipaddress.ip_address(host).is_loopback
         port = int(port_text)
     except ValueError:
-        raise AddressError("not HOST:PORT with an address in numbers", text) from None
+        raise AddressError(
+            "not HOST:PORT with a numeric IP address and port", text
+        ) from None
     if not is_loopback:
         raise NotLoopbackError(
-            "not a loopback address; the tool joins sockets of one machine only", text
+            "not a loopback address; the tool connects sockets of one machine only",
+            text,
         )
     if not 0 <= port <= MAX_PORT:
-        raise AddressError("no such port", text)
+        raise AddressError("the port must be between 0 and 65535", text)
     return host, port
--- a/loadbalancer/fault/control.py
+++ b/loadbalancer/fault/control.py
@@ -1,10 +1,12 @@
-"""Commands to a running fault proxy: one JSON object a line on a Unix or loopback socket, one answer a line.
+"""Accepts commands to a running fault proxy on a Unix or loopback socket.
+
+Each command is one JSON object on a line of its own, and so is each answer:
 
     {"do": "strike", "connection": 3, "rule": {"kind": "delay", "direction": "to_client", "ms": 50}}
     {"do": "thaw", "connection": 3}        {"do": "refuse", "on": true}        {"do": "list"}
 
-Without `connection` a command is for all that are open. An answer is {"ok": true, ...} or {"error": "...",
-"do": "..."}: what is wrong and where, and what helps.
+A command without `connection` applies to all open connections. An answer is {"ok": true, ...}, or
+{"error": "...", "do": "..."} with what is wrong, where, and how to correct it.
 """
 
 from __future__ import annotations
@@ -22,14 +24,14 @@
 from loadbalancer.fault.rules import FaultRule, FaultScript
 from loadbalancer.fault.script import parse_script
 
-MAX_COMMAND_BYTES = 1 << 20
-ERROR_PLACE = "command"  # in place of a script's name
+MAX_COMMAND_BYTES = 1 << 20  # of one line
+COMMAND_SOURCE = "command"  # stands in errors where a script has its file name
 
-Table = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class CommandError(LoadBalancerError, ValueError):
-    """A command to the fault tool that cannot be done."""
+    """A command to the fault tool that cannot be carried out."""
 
     remedy: ClassVar[str] = (
         "send the command as docs/fault-tool.md shows it, with all its keys"
@@ -40,11 +42,11 @@
     """A line to the fault tool that is not JSON."""
 
     code: ClassVar[str] = "CommandMalformed"
-    remedy: ClassVar[str] = "send one JSON object a line, with a line's end after it"
+    remedy: ClassVar[str] = "send one JSON object per line and end it with a line feed"
 
 
 class ConnectionClosedError(CommandError):
-    """A command for a connection that the fault tool does not hold open."""
+    """A command for a connection that is not open at the fault tool."""
 
     code: ClassVar[str] = "ConnectionClosed"
     remedy: ClassVar[str] = (
@@ -53,10 +55,10 @@
 
 
 def decode_command(line: bytes) -> Any:
-    """Decodes a line.
+    """Decodes one line of the control socket.
 
     Raises:
-        CommandMalformedError: It is not JSON.
+        CommandMalformedError: The line is not JSON.
     """
     try:
         return json.loads(line)
@@ -65,12 +67,18 @@
 
 
 class ControlServer:
-    """Takes commands for a proxy."""
+    """Accepts commands for a fault proxy.
+
+    Attributes:
+        proxy: The proxy that the commands act on.
+        server: The listening server; None before `start`.
+        commands: Handlers by the value of a command's `do`.
+    """
 
     def __init__(self, proxy: FaultProxy) -> None:
         self.proxy = proxy
         self.server: asyncio.Server | None = None
-        self.commands: dict[str, Callable[[Table], Table]] = {
+        self.commands: dict[str, Callable[[JsonObject], JsonObject]] = {
             "strike": self._inject,
             "thaw": self._thaw,
             "refuse": self._refuse,
@@ -79,19 +87,22 @@
             "list": self._list,
         }
 
-    async def start(self, where: Path | Address) -> None:
-        """Listens at a Unix socket or an address.
+    async def start(self, address: Path | Address) -> None:
+        """Listens for commands.
+
+        Args:
+            address: Path of a Unix socket, or a loopback address.
 
         Raises:
-            OSError: It cannot be had.
+            OSError: The socket cannot be opened at this address.
         """
-        if isinstance(where, Path):
+        if isinstance(address, Path):
             self.server = await asyncio.start_unix_server(
-                self._serve, where, limit=MAX_COMMAND_BYTES
+                self._serve, address, limit=MAX_COMMAND_BYTES
             )
         else:
             self.server = await asyncio.start_server(
-                self._serve, *where, limit=MAX_COMMAND_BYTES
+                self._serve, *address, limit=MAX_COMMAND_BYTES
             )
 
     def close(self) -> None:
@@ -107,22 +118,28 @@
                 writer.write(json.dumps(self.answer(line)).encode() + b"\n")
                 await writer.drain()
         except (ValueError, ConnectionError):
-            pass  # a line beyond all bounds, or nobody is there any more
+            pass  # the line exceeds MAX_COMMAND_BYTES, or the client has disconnected
         finally:
             writer.close()
 
-    def answer(self, line: bytes) -> Table:
-        """Does one command and returns the answer."""
+    def answer(self, line: bytes) -> JsonObject:
+        """Carries out the command on one line and returns the answer, which may be an error."""
         try:
             command = decode_command(line)
             if not isinstance(command, dict) or command.get("do") not in self.commands:
-                raise CommandError(f'"do" is one of {", ".join(self.commands)}')
+                raise CommandError(
+                    f'unknown command: "do" is one of {", ".join(self.commands)}'
+                )
             return {"ok": True} | self.commands[command["do"]](command)
         except LoadBalancerError as error:
             return {"error": str(error), "do": error.advice}
 
-    def _connections(self, command: Table) -> list[ProxiedConnection]:
-        """The connections that a command is for."""
+    def _connections(self, command: JsonObject) -> list[ProxiedConnection]:
+        """Returns the connections that a command applies to.
+
+        Raises:
+            ConnectionClosedError: The command names a connection that is not open.
+        """
         if "connection" not in command:
             return list(self.proxy.connections.values())
         number = command["connection"]
@@ -131,36 +148,37 @@
         )
         if connection is None:
             raise ConnectionClosedError(
-                "is not open; `list` names those that are", f"connection {number!r}"
+                "is not open; the command `list` returns those that are",
+                f"connection {number!r}",
             )
         return [connection]
 
-    # ---- the commands ---------------------------------------------------------------------------------
+    # ---- commands -------------------------------------------------------------------------------------
 
-    def _inject(self, command: Table) -> Table:
-        """Injects a fault, now or with the next byte."""
+    def _inject(self, command: JsonObject) -> JsonObject:
+        """Injects a fault, at once or from the next byte on, as its kind requires."""
         rule = _parse_rule(command.get("rule"))
         connections = self._connections(command)
         for connection in connections:
             connection.inject(rule)
         return {"connections": [connection.number for connection in connections]}
 
-    def _thaw(self, command: Table) -> Table:
-        """Lets what is frozen go on."""
+    def _thaw(self, command: JsonObject) -> JsonObject:
+        """Resumes frozen connections."""
         connections = self._connections(command)
         for connection in connections:
             connection.thaw()
         return {"connections": [connection.number for connection in connections]}
 
-    def _refuse(self, command: Table) -> Table:
+    def _refuse(self, command: JsonObject) -> JsonObject:
         """Refuses new connections, or accepts them again."""
         if not isinstance(command.get("on"), bool):
-            raise CommandError('"on" is true or false')
+            raise CommandError('"on" must be true or false')
         self.proxy.refusing = command["on"]
         return {}
 
-    def _clear(self, command: Table) -> Table:
-        """Takes all rules from the open connections, and from those that come."""
+    def _clear(self, command: JsonObject) -> JsonObject:
+        """Removes all rules and resumes what is frozen: on one connection, or on all open and future ones."""
         for connection in self._connections(command):
             connection.clear_rules()
         if "connection" not in command:
@@ -168,24 +186,24 @@
             self.proxy.refusing = False
         return {}
 
-    def _replace_script(self, command: Table) -> Table:
-        """Sets another script for connections that come from now on."""
+    def _replace_script(self, command: JsonObject) -> JsonObject:
+        """Replaces the script for connections that are accepted from now on."""
         table = command.get("script")
         if not isinstance(table, dict):
-            raise CommandError('"script" is a table with "seed" and "rule"')
-        self.proxy.replace_script(parse_script(table, ERROR_PLACE))
+            raise CommandError('"script" must be a table with "seed" and "rule"')
+        self.proxy.replace_script(parse_script(table, COMMAND_SOURCE))
         return {}
 
-    def _list(self, command: Table) -> Table:
-        """The open connections, with the bytes that have passed each way."""
+    def _list(self, command: JsonObject) -> JsonObject:
+        """Returns the open connections, with the number of bytes forwarded in each direction."""
         return {
             "taken": self.proxy.accepted,
             "faults": self.proxy.faults,
             "open": [
                 {"connection": number}
                 | {
-                    direction.value: passed
-                    for direction, passed in connection.passed_bytes.items()
+                    direction.value: forwarded
+                    for direction, forwarded in connection.forwarded_bytes.items()
                 }
                 for number, connection in sorted(self.proxy.connections.items())
             ],
@@ -193,6 +211,7 @@
 
 
 def _parse_rule(table: Any) -> FaultRule:
+    """Parses the rule of a `strike` command."""
     if not isinstance(table, dict):
-        raise CommandError('"rule" is a table as in a script')
-    return parse_script({"rule": [table]}, ERROR_PLACE).rules[0]
+        raise CommandError('"rule" must be a table with the keys of a rule in a script')
+    return parse_script({"rule": [table]}, COMMAND_SOURCE).rules[0]
--- a/loadbalancer/fault/datagram_plan.py
+++ b/loadbalancer/fault/datagram_plan.py
@@ -1,7 +1,7 @@
-"""Decides what becomes of each datagram between named members; without I/O.
+"""Decides what happens to each datagram between named members; does no I/O.
 
-Each rule has random numbers of its own for each directed pair: the n-th datagram that a rule sees on a pair
-meets the same fate in each run with the same seed.
+Each rule draws its own random numbers for each directed pair of members: the n-th datagram of a pair that a
+rule applies to is treated the same in every run with the same seed.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 )
 
 MS_PER_S = 1000
-IMMEDIATELY_S = 0.0
+IMMEDIATELY_S = 0.0  # delay of a datagram that no rule delays
 
 
 class RulePhase(StrEnum):
-    """A rule begins or ends; the values are those of the log."""
+    """Whether a rule starts or stops being active; the values are written to the log."""
 
     BEGINS = "begins"
     ENDS = "ends"
 
 
 class RuleTransition(NamedTuple):
-    """A rule begins or ends.
+    """The time at which a rule starts or stops being active.
 
     Attributes:
-        at_s: When, in seconds from the start.
-        rule: The rule's index.
-        phase: Which of the two.
+        at_s: Seconds since the start of the plan.
+        rule: Index of the rule.
+        phase: Whether it starts or stops.
     """
 
     at_s: float
@@ -44,12 +44,12 @@
 
 
 class MemberRole(NamedTuple):
-    """What a member is to a rule.
+    """How a rule refers to a member.
 
     Attributes:
-        is_source: It is one of the rule's senders.
-        is_target: It is one of the rule's receivers.
-        group: Its group in a partition.
+        is_source: Whether it is one of the rule's senders.
+        is_target: Whether it is one of the rule's receivers.
+        group: Index of its group in a partition; `NO_GROUP` for other kinds and for members in no group.
     """
 
     is_source: bool
@@ -58,12 +58,12 @@
 
 
 class DatagramPlan:
-    """What becomes of each datagram.
+    """Applies rules to datagrams, one after another.
 
     Attributes:
-        rules: The rules, in the script's order.
-        seed: From which all random numbers follow.
-        affected: Datagrams that each rule has affected so far.
+        rules: The rules, in the order of the script.
+        seed: Seed of all random numbers.
+        affected: Number of datagrams that each rule has affected so far, by the rule's index.
     """
 
     def __init__(self, rules: Sequence[DatagramRule], seed: int) -> None:
@@ -74,82 +74,94 @@
         self._roles: dict[str, tuple[MemberRole, ...]] = {}
 
     def draw(self, rule: int, source: str, target: str) -> float:
-        """The pair's next random number for a rule, from 0 to 1."""
+        """Draws the next random number, from 0 to 1, of a rule for a pair of members.
+
+        Args:
+            rule: Index of the rule.
+            source: Name of the sender.
+            target: Name of the receiver.
+        """
         key = (rule, source, target)
-        random = self._randoms.get(key)
-        if random is None:
-            random = Random(f"{self.seed}/{rule}/{source}>{target}")
-            self._randoms[key] = random
-        return random.random()
+        generator = self._randoms.get(key)
+        if generator is None:
+            generator = Random(f"{self.seed}/{rule}/{source}>{target}")
+            self._randoms[key] = generator
+        return generator.random()
 
     def deliveries(self, source: str, target: str, elapsed_s: float) -> list[float]:
-        """When each copy of a datagram arrives.
+        """Decides whether and when a datagram is delivered.
 
         Args:
-            source: The sender.
-            target: The receiver.
-            elapsed_s: Seconds since the start.
+            source: Name of the sender.
+            target: Name of the receiver.
+            elapsed_s: Seconds since the start of the plan.
 
         Returns:
-            Seconds from now on; empty if the datagram is lost.
+            The delay of each copy in seconds; empty if the datagram is lost.
         """
-        copies = [IMMEDIATELY_S]
+        delays_s = [IMMEDIATELY_S]
         source_roles, target_roles = self._roles_of(source), self._roles_of(target)
         for index, rule in enumerate(self.rules):
             if rule.is_active(elapsed_s) and _affects(
                 rule, source_roles[index], target_roles[index]
             ):
-                copies = self._apply(index, (source, target), copies)
-                if not copies:
+                delays_s = self._apply(index, (source, target), delays_s)
+                if not delays_s:
                     break
-        return copies
+        return delays_s
 
     def _apply(
-        self, index: int, pair: tuple[str, str], copies: list[float]
+        self, index: int, pair: tuple[str, str], delays_s: list[float]
     ) -> list[float]:
-        """The copies after one rule."""
+        """Returns the delays of a datagram's copies, in seconds, after one rule is applied to them."""
         rule = self.rules[index]
         delay_s = rule.delay_ms / MS_PER_S
         if rule.kind in (DatagramFaultKind.CUT, DatagramFaultKind.PARTITION):
-            copies = []
+            delays_s = []
         elif rule.kind == DatagramFaultKind.DELAY:
             jitter_ms = rule.jitter_ms * self.draw(index, *pair)
             delay_s = (rule.delay_ms + jitter_ms) / MS_PER_S
-            copies = [copy + delay_s for copy in copies]
+            delays_s = [copy_delay_s + delay_s for copy_delay_s in delays_s]
         elif self.draw(index, *pair) >= rule.rate:
-            return copies
+            return delays_s
         elif rule.kind == DatagramFaultKind.LOSS:
-            copies = []
+            delays_s = []
         elif rule.kind == DatagramFaultKind.DUPLICATE:
-            copies = [*copies, copies[0] + delay_s]
-        else:  # reorder: held back, so that those behind it overtake
-            copies = [copy + delay_s for copy in copies]
+            delays_s = [*delays_s, delays_s[0] + delay_s]
+        else:  # REORDER: delayed, so that later datagrams overtake it
+            delays_s = [copy_delay_s + delay_s for copy_delay_s in delays_s]
         self.affected[index] += 1
-        return copies
+        return delays_s
 
     def _roles_of(self, name: str) -> tuple[MemberRole, ...]:
-        """A member's role in each rule; by member and not by pair, which may be millions."""
-        known = self._roles.get(name)
-        if known is None:
-            known = tuple(_role(rule, name) for rule in self.rules)
-            self._roles[name] = known
-        return known
+        """Returns a member's role in each rule.
+
+        Roles are cached by member, not by pair: there may be millions of pairs.
+        """
+        roles = self._roles.get(name)
+        if roles is None:
+            roles = tuple(_role(rule, name) for rule in self.rules)
+            self._roles[name] = roles
+        return roles
 
     def transitions(self) -> list[RuleTransition]:
-        """When each rule begins and ends, in order."""
-        found = [
+        """Returns when rules start and stop being active, in order of time."""
+        timeline = [
             RuleTransition(rule.start_s, index, RulePhase.BEGINS)
             for index, rule in enumerate(self.rules)
         ]
-        found += [
+        timeline += [
             RuleTransition(rule.start_s + rule.duration_s, index, RulePhase.ENDS)
             for index, rule in enumerate(self.rules)
             if rule.duration_s is not None
         ]
-        return sorted(found)
+        return sorted(timeline)
 
     def log_line(self, transition: RuleTransition) -> dict[str, Any]:
-        """One line of the log, by the published keys; at its end, how many datagrams a rule has affected."""
+        """Returns a line of the log, by its published keys.
+
+        When a rule stops, the line has the number of datagrams that it has affected.
+        """
         at_s, index, phase = transition
         rule = self.rules[index]
         line: dict[str, Any] = {
@@ -166,6 +178,7 @@
 
 
 def _role(rule: DatagramRule, name: str) -> MemberRole:
+    """Returns the role of a member in a rule."""
     if rule.kind == DatagramFaultKind.PARTITION:
         return MemberRole(False, False, rule.group_of(name))
     return MemberRole(
@@ -174,7 +187,7 @@
 
 
 def _affects(rule: DatagramRule, source: MemberRole, target: MemberRole) -> bool:
-    """Whether a rule affects the datagrams from one member to another."""
+    """Returns whether a rule applies to datagrams from one member to another, by their roles."""
     return (
         source.group != target.group
         or (source.is_source and target.is_target)
--- a/loadbalancer/fault/datagram_proxy.py
+++ b/loadbalancer/fault/datagram_proxy.py
@@ -1,8 +1,9 @@
-"""A proxy between members that send each other datagrams on loopback: each is reached at a proxy address.
+"""A proxy for members that send each other datagrams on loopback: each member is reached at a proxy address.
 
-Members are told each other's proxy addresses. What a member sends to another's leaves from the sender's own,
-so that each sees the others at one address whatever the faults; the plan decides what becomes of it. The
-option `--member NAME=FRONT,REAL` calls a proxy address the front, and the process's own the real one.
+Members are given each other's proxy addresses. A datagram that arrives at the receiver's proxy address is
+forwarded from the sender's proxy address, so that each member sees the others at one address whatever the
+faults; the plan decides whether and when it is delivered. The option `--member NAME=FRONT,REAL` calls the
+proxy address FRONT, and the address of the member's process REAL.
 """
 
 from __future__ import annotations
@@ -18,23 +19,24 @@
 from loadbalancer.fault.address import Address
 from loadbalancer.fault.datagram_plan import DatagramPlan, RuleTransition
 
-# Bytes that may wait at a proxy address: a member that was stopped for seconds may answer at once.
+# Receive buffer of the socket at a proxy address. A member that was stopped for seconds may send a burst of
+# answers once it resumes.
 RECEIVE_BUFFER_BYTES = 1 << 20
-BEFORE_START_S = -1.0  # the plan's time until `start`
-ANY_PROXY_ADDRESS: Address = ("127.0.0.1", 0)
+BEFORE_START_S = -1.0  # elapsed time of the plan until `start`, when no rule is active
+ANY_PROXY_ADDRESS: Address = ("127.0.0.1", 0)  # the system chooses the port
 
-WriteLine = Callable[[dict[str, Any]], None]
+WriteLine = Callable[[dict[str, Any]], None]  # writes one line of the log
 
 
 @dataclass
 class ProxiedMember:
-    """One member.
+    """A member behind the proxy.
 
     Attributes:
-        name: Its name in the plan.
-        process_address: Where its process listens.
-        transport: The socket at its proxy address.
-        proxy_address: Where others reach it.
+        name: Name of the member in the plan.
+        process_address: Address that its process listens on.
+        transport: Socket at its proxy address; None until it is open.
+        proxy_address: Address at which the other members reach it.
     """
 
     name: str
@@ -44,7 +46,7 @@
 
 
 class _ProxyProtocol(asyncio.DatagramProtocol):
-    """The socket at which others reach one member."""
+    """Protocol of the socket at one member's proxy address."""
 
     def __init__(self, proxy: DatagramProxy, member: ProxiedMember) -> None:
         self.proxy, self.member = proxy, member
@@ -53,24 +55,27 @@
         self.proxy.receive(self.member, data, (str(addr[0]), int(addr[1])))
 
     def error_received(self, exc: Exception) -> None:
-        """A process that has ended refuses: as on a network, nobody is told."""
+        """Ignores the error: a stopped process refuses datagrams, and a network reports that to no sender."""
 
 
 class DatagramProxy:
-    """All proxy addresses, and what happens between them.
+    """Forwards datagrams between the proxy addresses of all members, as the plan decides.
 
     Attributes:
-        members: By name.
-        forwarded: Datagrams that were passed on.
-        lost: Datagrams that the plan lost.
-        strays: Datagrams of no member: nobody would know whom to answer.
+        plan: The plan that decides about each datagram.
+        write: Called with each line of the log.
+        members: The members by name.
+        forwarded: Number of datagrams forwarded.
+        lost: Number of datagrams that the plan dropped.
+        unknown_senders: Number of datagrams dropped because no member sent them: the receiver would have no
+            proxy address to answer to.
     """
 
     def __init__(self, plan: DatagramPlan, write: WriteLine) -> None:
         self.plan = plan
         self.write = write
         self.members: dict[str, ProxiedMember] = {}
-        self.forwarded = self.lost = self.strays = 0
+        self.forwarded = self.lost = self.unknown_senders = 0
         self._member_at: dict[Address, ProxiedMember] = {}
         self._started_at: float | None = None
         self._timers: set[asyncio.TimerHandle] = set()
@@ -84,15 +89,15 @@
         """Opens a proxy address for a member.
 
         Args:
-            name: Its name in the plan.
-            process_address: Where its process listens.
-            proxy_address: Where others are to reach it; port 0: any.
+            name: Name of the member in the plan.
+            process_address: Address that its process listens on.
+            proxy_address: Address at which the other members reach it; with port 0 the system chooses a port.
 
         Returns:
-            The proxy address.
+            The proxy address, with the port that the system chose for port 0.
 
         Raises:
-            OSError: The proxy address cannot be had.
+            OSError: The proxy address cannot be opened.
         """
         member = ProxiedMember(name, process_address)
         self.members[name] = self._member_at[process_address] = member
@@ -100,14 +105,16 @@
             lambda: _ProxyProtocol(self, member), local_addr=proxy_address
         )
         member.transport = transport
-        opened = transport.get_extra_info("socket")
-        if opened is not None:
-            opened.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        proxy_socket = transport.get_extra_info("socket")
+        if proxy_socket is not None:
+            proxy_socket.setsockopt(
+                socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
+            )
         member.proxy_address = transport.get_extra_info("sockname")[:2]
         return member.proxy_address
 
     def start(self) -> None:
-        """Starts the plan's time; each begin and end of a rule is written as one line."""
+        """Starts the clock of the plan; each start and stop of a rule is logged as one line."""
         self._started_at = monotonic()
         for transition in self.plan.transitions():
             self._call_later(transition.at_s, partial(self._log, transition))
@@ -129,10 +136,16 @@
         return monotonic() - self._started_at
 
     def receive(self, target: ProxiedMember, data: bytes, source: Address) -> None:
-        """Takes a datagram that has come to a member's proxy address."""
+        """Handles a datagram that arrived at a member's proxy address.
+
+        Args:
+            target: The member to which it was sent.
+            data: The datagram.
+            source: Address that it came from.
+        """
         sender = self._member_at.get(source)
         if sender is None:
-            self.strays += 1
+            self.unknown_senders += 1
             return
         delays = self.plan.deliveries(sender.name, target.name, self._elapsed_s())
         self.lost += not delays
@@ -150,7 +163,7 @@
             self.forwarded += 1
 
     def close(self) -> None:
-        """Closes all proxy addresses; what is delayed is lost."""
+        """Closes all proxy addresses; delayed datagrams are lost."""
         for timer in self._timers:
             timer.cancel()
         self._timers.clear()
--- a/loadbalancer/fault/datagram_rules.py
+++ b/loadbalancer/fault/datagram_rules.py
@@ -1,7 +1,7 @@
-"""Fault injection rules for datagrams between named members, by the keys of scripts' `[[datagram]]` tables.
+"""Fault injection rules for datagrams between named members, as `[[datagram]]` tables of scripts define them.
 
-They lose, delay, duplicate and reorder by rate, cut one direction, or partition groups from each other, each
-from `at_s` on for `for_s`.
+Rules lose, duplicate and reorder a fraction of the datagrams, delay them, cut one direction, or partition
+groups of members from each other. Each rule is active from `at_s` on, for `for_s` seconds.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 Rate = Annotated[float, Meta(ge=0, le=1)]
 Milliseconds = Annotated[float, Meta(ge=0, le=60_000)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
-WILDCARDS = frozenset("*?[")  # what makes a name a pattern
-NO_GROUP = -1  # the group of the members that are in none
+WILDCARDS = frozenset("*?[")  # a name with one of these characters is a pattern
+NO_GROUP = -1  # group of the members that a partition does not name
 
 
 class DatagramFaultKind(StrEnum):
-    """What happens to datagrams; the values are those of scripts and of the log."""
+    """What happens to datagrams; the values are used in scripts and in the log."""
 
     LOSS = "loss"
     DELAY = "delay"
@@ -43,6 +43,7 @@
     PARTITION = "partition"
 
 
+# Keys of each kind of rule, beside the common ones.
 DATAGRAM_KINDS: dict[str, KindKeys] = {
     DatagramFaultKind.LOSS: kind_keys({"rate"}, {"from", "to"}),
     DatagramFaultKind.DELAY: kind_keys({"ms"}, {"from", "to", "jitter_ms"}),
@@ -51,6 +52,7 @@
     DatagramFaultKind.CUT: kind_keys((), {"from", "to", "both"}),
     DatagramFaultKind.PARTITION: kind_keys({"groups"}),
 }
+# Keys that rules of every kind may have.
 COMMON_KEYS = ("kind", "at_s", "for_s", "name")
 
 
@@ -66,20 +68,20 @@
         "duration_s": "for_s",
     },
 ):
-    """One fault. Names are patterns (`*` is all); what goes from `source` to `target` is affected.
+    """A fault that affects datagrams from `source` to `target`. Member names are patterns; `*` matches all.
 
     Attributes:
-        kind: What happens.
-        source: The senders.
-        target: The receivers.
-        groups: Of a partition; members of none are a group of their own.
-        rate: The part of the datagrams that is affected.
-        delay_ms: So much later they arrive...
-        jitter_ms: ...and by up to so much more, drawn for each.
-        both_directions: A cut affects the other direction too.
-        start_s: When the rule begins, in seconds from the start.
-        duration_s: For how long it holds; None: until the end.
-        name: For the log.
+        kind: What happens to the datagrams.
+        source: Name patterns of the senders.
+        target: Name patterns of the receivers.
+        groups: Groups of a partition, as lists of name patterns; members in no group form one more group.
+        rate: Fraction of the datagrams that is affected, from 0 to 1.
+        delay_ms: Delay in milliseconds.
+        jitter_ms: Upper bound in milliseconds of a random delay that is drawn for each datagram and added.
+        both_directions: Whether a cut also affects datagrams from `target` to `source`.
+        start_s: When the rule becomes active, in seconds since the start.
+        duration_s: For how many seconds it is active; None for until the end.
+        name: Name of the rule in the log.
     """
 
     kind: DatagramFaultKind
@@ -95,13 +97,13 @@
     name: str = ""
 
     def is_active(self, elapsed_s: float) -> bool:
-        """Whether the rule holds so many seconds after the start."""
+        """Returns whether the rule is active `elapsed_s` seconds after the start."""
         if elapsed_s < self.start_s:
             return False
         return self.duration_s is None or elapsed_s < self.start_s + self.duration_s
 
     def affects(self, source: str, target: str) -> bool:
-        """Whether a datagram of this direction is one that the rule may affect."""
+        """Returns whether the rule may affect datagrams from member `source` to member `target`."""
         if self.kind == DatagramFaultKind.PARTITION:
             return self.group_of(source) != self.group_of(target)
         if matches_any(source, self.source) and matches_any(target, self.target):
@@ -113,7 +115,7 @@
         )
 
     def group_of(self, name: str) -> int:
-        """The index of a member's group in a partition; `NO_GROUP` for those in none."""
+        """Returns the index of a member's group in a partition; `NO_GROUP` if it is in none."""
         return next(
             (
                 index
@@ -125,25 +127,26 @@
 
 
 def matches_any(name: str, patterns: Sequence[str]) -> bool:
-    """Whether a name fits one of the patterns."""
+    """Returns whether a name matches one of the patterns."""
     return name in patterns or any(
         fnmatchcase(name, pattern) for pattern in patterns if WILDCARDS & set(pattern)
     )
 
 
 def parse_datagram_rules(tables: Any, where: str) -> tuple[DatagramRule, ...]:
-    """Makes rules of decoded `[[datagram]]` tables.
+    """Parses the `[[datagram]]` tables of a script.
 
     Args:
-        tables: All of them.
-        where: The file's name, for errors.
+        tables: The decoded tables.
+        where: File name of the script, for errors.
 
     Raises:
-        ScriptError: A table cannot be used; names the first key that is wrong.
+        ScriptError: A table is invalid; the error names the first key that is wrong.
     """
     if not isinstance(tables, list) or len(tables) > MAX_RULES:
         raise ScriptValueError(
-            f"a list of at most {MAX_RULES} tables ([[datagram]])", f"{where}: datagram"
+            f"must be a list of at most {MAX_RULES} tables ([[datagram]])",
+            f"{where}: datagram",
         )
     return tuple(
         _parse_rule(table, f"datagram[{index}]", where)
@@ -152,11 +155,15 @@
 
 
 def _parse_rule(table: Any, path: str, where: str) -> DatagramRule:
+    """Parses one table; `path` is its key path in the script."""
     place = f"{where}: {path}"
     kind = table.get("kind") if isinstance(table, dict) else None
     if kind not in DATAGRAM_KINDS:
         kinds = ", ".join(DatagramFaultKind)
-        raise ScriptValueError(f"{kind!r}; {kinds}", f"{place}.kind")
+        raise ScriptValueError(
+            f"{kind!r} is not a kind of datagram rule; known are {kinds}",
+            f"{place}.kind",
+        )
     keys = DATAGRAM_KINDS[kind]
     known = (*COMMON_KEYS, *sorted(keys.required | keys.optional))
     check_keys(table, known, where, path + ".")
@@ -166,5 +173,7 @@
     except msgspec.ValidationError as error:
         raise validation_error(error, where, f"{path}.") from None
     if rule.kind == DatagramFaultKind.PARTITION and not rule.groups:
-        raise ScriptValueError("at least one list of names", f"{place}.groups")
+        raise ScriptValueError(
+            "a partition needs at least one list of names", f"{place}.groups"
+        )
     return rule
--- a/loadbalancer/fault/faulty_transport.py
+++ b/loadbalancer/fault/faulty_transport.py
@@ -1,7 +1,7 @@
-"""The datagram plan on any transport: the same rules as `datagram_proxy` applies to UDP.
+"""Applies a datagram plan to any transport, with the same rules that `datagram_proxy` applies to UDP.
 
-`FaultyTransport` wraps one end; what its owner sends meets the plan's rules for that direction. Wrapped on
-both sides, each direction is affected once.
+`FaultyTransport` wraps one end and applies the plan's rules to the datagrams that its owner sends. With both
+ends wrapped, each direction is affected once.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from loadbalancer.transports.interface import Address, DatagramReceiver, Transport
 
 CallLater = Callable[[float, Callable[[], object]], object]
-"""A loop's `call_later`, or a schedule's."""
+"""Calls a function after a delay in seconds: `call_later` of an event loop or of a virtual schedule."""
 
 
 class FaultyTransport(BaseTransport):
-    """A transport that loses, delays, duplicates and reorders as a plan says.
+    """A transport that loses, delays, duplicates and reorders datagrams as a plan decides.
 
     Args:
-        transport: What carries the datagrams.
-        plan: The rules.
-        name: This end's name in the plan.
-        name_of: The others' names, by address.
-        elapsed_s: Seconds since the plan's start.
-        call_later: How to wait.
+        transport: The transport that carries the datagrams.
+        plan: The plan.
+        name: Name of this end in the plan.
+        name_of: Returns the name of the member at an address.
+        elapsed_s: Returns the seconds since the start of the plan.
+        call_later: Calls a function after a delay in seconds.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 - a transport, its plan, and what time is
+    def __init__(  # noqa: PLR0913, PLR0917 - a transport, its plan, and a clock
         self,
         transport: Transport,
         plan: DatagramPlan,
@@ -43,15 +43,23 @@
         self.elapsed_s, self.call_later = elapsed_s, call_later
 
     async def open(self, received: DatagramReceiver) -> Address:
-        """Opens it; returns its address."""
+        """Opens the wrapped transport and returns its address.
+
+        Args:
+            received: Called with each datagram that arrives.
+        """
         self.check_unopened()
         return self.mark_open(received, await self.transport.open(self.deliver))
 
     def send(self, data: bytes, to: Address) -> bool:
-        """Sends a datagram; the sender learns nothing of a loss or a delay.
+        """Sends a datagram, unless the plan drops it; the sender does not notice a loss or a delay.
+
+        Args:
+            data: The datagram.
+            to: Address of the receiver.
 
         Returns:
-            Whether it was accepted.
+            Whether the datagram was accepted.
         """
         if not self.check_sendable(data):
             return False
@@ -59,18 +67,18 @@
         accepted = True
         for delay_s in delays:
             if delay_s > 0:
-                self.call_later(delay_s, lambda: self._pass_on(bytes(data), to))
+                self.call_later(delay_s, lambda: self._forward(bytes(data), to))
             else:
-                accepted = self._pass_on(data, to)
+                accepted = self._forward(data, to)
         if not accepted:
             self.traffic.drop("unreachable")
             return False
         return self.count_sent(data)
 
-    def _pass_on(self, data: bytes, to: Address) -> bool:
+    def _forward(self, data: bytes, to: Address) -> bool:
         return self.transport.address is not None and self.transport.send(data, to)
 
     def close(self) -> None:
-        """Ends it; what is delayed is lost."""
+        """Closes the transport; delayed datagrams are lost."""
         self.transport.close()
         self.mark_closed()
--- a/loadbalancer/fault/proxied_connection.py
+++ b/loadbalancer/fault/proxied_connection.py
@@ -1,4 +1,4 @@
-"""One connection through the proxy: two sockets, and a stream injector and a task for each direction."""
+"""A connection through the proxy: two sockets, and for each direction a stream injector and a task."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
     Step,
 )
 
-READ_BYTES = 65_536
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
-# What a command of these kinds asks for happens at once, all else with the next byte.
+READ_BYTES = 65_536  # maximum of one read
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close sends a reset
+# Commands with these kinds of faults take effect at once, all others with the next byte.
 IMMEDIATE_KINDS = (
     FaultKind.CLOSE,
     FaultKind.RESET,
@@ -41,17 +41,22 @@
 
 
 def address_family(address: Address) -> socket.AddressFamily:
-    """IPv6 or IPv4."""
+    """Returns the family of an IP address: IPv6 or IPv4."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
 
 class ProxiedConnection:
-    """One connection.
+    """A connection from a client through the proxy to the server.
 
     Attributes:
-        number: From 1, in the order in which connections are accepted.
-        passed_bytes: Passed on so far, by direction.
-        is_open: Until either side or a fault ends it.
+        number: Number of the connection, from 1, in the order in which connections are accepted.
+        client: Socket to the client.
+        server: Socket to the server; None until `run` creates it.
+        injectors: Decide what happens to the bytes, by direction.
+        running: Events that are set unless the direction is frozen.
+        forwarded_bytes: Number of bytes forwarded so far, by direction.
+        tasks: The tasks that forward the two directions.
+        is_open: Whether neither the client, the server nor a fault has ended the connection yet.
     """
 
     def __init__(
@@ -65,11 +70,11 @@
         """Prepares the connection; `run` does the work.
 
         Args:
-            number: The connection's number.
-            client: The accepted socket.
-            script: The rules in force for it.
+            number: Number of the connection.
+            client: The accepted, non-blocking socket.
+            script: The rules that apply to the connection.
             on_fault: Called with each fault that is injected.
-            on_closed: Called with the number once both sockets are closed.
+            on_closed: Called with the connection's number once both sockets are closed.
         """
         self.number = number
         self.client = client
@@ -79,15 +84,14 @@
             direction: StreamInjector(script, number, direction)
             for direction in DIRECTIONS
         }
-        # Set unless the direction is frozen.
         self.running = {direction: asyncio.Event() for direction in DIRECTIONS}
         self.thaw()
-        self.passed_bytes: dict[Direction, int] = dict.fromkeys(DIRECTIONS, 0)
+        self.forwarded_bytes: dict[Direction, int] = dict.fromkeys(DIRECTIONS, 0)
         self.tasks: list[asyncio.Task[None]] = []
         self.is_open = True
 
     async def run(self, target: Address) -> None:
-        """Connects to the server and passes bytes on until both directions have ended."""
+        """Connects to the server at `target` and forwards bytes until both directions have ended."""
         loop = asyncio.get_running_loop()
         server = socket.socket(address_family(target), socket.SOCK_STREAM)
         server.setblocking(False)
@@ -95,10 +99,11 @@
         try:
             await loop.sock_connect(server, target)
         except OSError:
-            self.end(FaultKind.RESET)  # the client learns that nobody is there
+            # Tells the client that the server cannot be reached.
+            self.end(FaultKind.RESET)
             return
-        for side in (self.client, server):
-            side.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        for sock in (self.client, server):
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.tasks = [
             loop.create_task(self._pump(Direction.TO_SERVER, self.client, server)),
             loop.create_task(self._pump(Direction.TO_CLIENT, server, self.client)),
@@ -110,7 +115,7 @@
     async def _pump(
         self, direction: Direction, source: socket.socket, sink: socket.socket
     ) -> None:
-        """Moves one direction's bytes until it ends, by itself or by a fault."""
+        """Forwards the bytes of one direction until its source or a fault ends it."""
         injector = self.injectors[direction]
         try:
             await self._perform(direction, injector.start(), sink)
@@ -119,7 +124,7 @@
                 if not data:
                     break
                 if injector.ended:
-                    continue  # what still comes is dropped, the other direction goes on
+                    continue  # later bytes are dropped; the other direction continues
                 await self._perform(direction, injector.feed(data), sink)
             if self.is_open and not injector.ended:
                 sink.shutdown(socket.SHUT_WR)
@@ -137,7 +142,7 @@
     async def _perform(
         self, direction: Direction, steps: Sequence[Step], sink: socket.socket
     ) -> None:
-        """Takes the steps, one after another."""
+        """Performs steps in order, until the connection has ended."""
         for step in steps:
             if not self.is_open:
                 return
@@ -162,24 +167,29 @@
     ) -> None:
         await self.running[direction].wait()
         await asyncio.get_running_loop().sock_sendall(sink, data)
-        self.passed_bytes[direction] += len(data)
+        self.forwarded_bytes[direction] += len(data)
 
     # ---- called by commands and steps -----------------------------------------------------------------
 
     def freeze(self, directions: tuple[Direction, ...], seconds: float) -> None:
-        """Stops some directions; `FOREVER_S`: until `thaw`."""
+        """Stops reading and writing in some directions.
+
+        Args:
+            directions: The directions to freeze.
+            seconds: Duration of the freeze; `FOREVER_S` for until `thaw` is called.
+        """
         for direction in directions:
             self.running[direction].clear()
         if seconds != FOREVER_S:
             asyncio.get_running_loop().call_later(seconds, self.thaw, directions)
 
     def thaw(self, directions: tuple[Direction, ...] = DIRECTIONS) -> None:
-        """Lets frozen directions go on."""
+        """Resumes frozen directions; by default both."""
         for direction in directions:
             self.running[direction].set()
 
     def inject(self, rule: FaultRule) -> None:
-        """Injects a command's fault: ends and freezes at once, all else with the next byte."""
+        """Injects the fault of a command: at once for `IMMEDIATE_KINDS`, otherwise with the next byte."""
         if rule.kind not in IMMEDIATE_KINDS:
             self.injectors[rule.direction].add_rule(rule)
             return
@@ -197,53 +207,55 @@
             self.end(kind)
 
     def clear_rules(self) -> None:
-        """No rule triggers any more, and nothing stays frozen."""
+        """Removes all rules and resumes frozen directions."""
         for injector in self.injectors.values():
             injector.clear_rules()
         self.thaw()
 
     def _half_close(self, direction: Direction) -> None:
+        """Ends one direction of the connection at once; the other one continues."""
         self.injectors[direction].ended = True
         sink = self.server if direction == Direction.TO_SERVER else self.client
         with suppress(OSError):
             if sink is not None:
                 sink.shutdown(socket.SHUT_WR)
 
-    # ---- the end --------------------------------------------------------------------------------------
+    # ---- shutdown -------------------------------------------------------------------------------------
 
     def end(self, kind: FaultKind) -> None:
-        """Ends both sockets once, by resets or in order."""
+        """Ends the connection, if it is open: with resets for `RESET`, in order for any other kind."""
         if not self.is_open:
             return
         self.is_open = False
-        for side in (self.client, self.server):
-            if side is not None:
+        for sock in (self.client, self.server):
+            if sock is not None:
                 with suppress(OSError):
-                    _end_socket(side, kind)
+                    _end_socket(sock, kind)
         self.thaw()
         current = asyncio.current_task()
         for task in self.tasks:
             if task is not current:
                 task.cancel()
-        # In the loop's next turn: a socket that a task still waits on must not lose its number to another.
+        # Closes in the loop's next iteration: while a task still waits on a socket, its descriptor must not
+        # be reused for another one.
         asyncio.get_running_loop().call_soon(self._close_sockets)
 
     def _close_sockets(self) -> None:
         loop = asyncio.get_running_loop()
-        for side in (self.client, self.server):
-            if side is not None and side.fileno() >= 0:
-                loop.remove_reader(side)
-                loop.remove_writer(side)
-                side.close()
+        for sock in (self.client, self.server):
+            if sock is not None and sock.fileno() >= 0:
+                loop.remove_reader(sock)
+                loop.remove_writer(sock)
+                sock.close()
         self.on_closed(self.number)
 
 
-def _end_socket(side: socket.socket, kind: FaultKind) -> None:
-    """Prepares a socket for its close: with a reset, or in order."""
+def _end_socket(sock: socket.socket, kind: FaultKind) -> None:
+    """Prepares a socket for its close, with a reset or in order."""
     if kind == FaultKind.RESET:
-        side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         return
-    side.shutdown(socket.SHUT_WR)
-    # Unread bytes would turn the close into a reset.
-    while side.recv(READ_BYTES):
+    sock.shutdown(socket.SHUT_WR)
+    # Unread bytes would make the close send a reset.
+    while sock.recv(READ_BYTES):
         pass
--- a/loadbalancer/fault/proxy.py
+++ b/loadbalancer/fault/proxy.py
@@ -1,7 +1,7 @@
-"""The fault injection proxy: accepts connections, and joins each to a new one to the server.
+"""The fault injection proxy: accepts connections and forwards each over a new connection to the server.
 
-Addresses are loopback only: it is a tool for tests. Faults are logged as JSON lines, one each, in the order
-in which they happen; without a clock a line has nothing in it that depends on time.
+Only loopback addresses are used: this is a tool for tests. Each fault is logged as one JSON line, in the
+order in which faults happen; without a clock nothing in a line depends on time.
 """
 
 from __future__ import annotations
@@ -22,22 +22,24 @@
 from loadbalancer.fault.stream_injector import refusing_rule
 from loadbalancer.fault.stream_steps import COMMAND_RULE, InjectedFault
 
-BACKLOG = 256
-MAX_CONNECTIONS = 4000  # at once; further ones are reset
-ACCEPT_RETRY_S = 0.01
-STOP_TIMEOUT_S = 5
+BACKLOG = 256  # connections that wait to be accepted
+MAX_CONNECTIONS = 4000  # open at the same time; further ones are reset
+ACCEPT_RETRY_S = 0.01  # pause after an accept that failed
+STOP_TIMEOUT_S = 5  # how long `stop` waits for connections to end
 
 
 class FaultProxy:
-    """A listener, its connections and the log.
+    """Listens for clients, forwards their connections with faults, and logs the faults.
 
     Attributes:
         script: The rules for connections that are accepted from now on.
-        target: The server's address.
-        connections: The open ones, by number.
-        accepted: Connections accepted under the script in force, and so the last one's number.
-        faults: Faults injected so far.
-        refusing: A command has new connections refused.
+        target: Address of the server.
+        write: Called with each line of the log.
+        started_at: Monotonic time of the start in seconds; None if lines carry no time.
+        connections: The open connections by number.
+        accepted: Number of connections accepted under the current script, which is the last one's number.
+        faults: Number of faults injected so far.
+        refusing: Whether a command has made the proxy refuse new connections.
     """
 
     def __init__(
@@ -51,9 +53,9 @@
 
         Args:
             script: The rules.
-            target: The server's address.
+            target: Address of the server.
             write: Called with each line of the log.
-            clock: Whether lines have the seconds since the start.
+            clock: Whether lines carry the seconds since the start.
         """
         self.script = script
         self.target = target
@@ -68,13 +70,16 @@
         self._accept_task: asyncio.Task[None] | None = None
 
     async def start(self, listen: Address) -> Address:
-        """Begins to listen.
+        """Starts to listen.
+
+        Args:
+            listen: The address; with port 0 the system chooses a port.
 
         Returns:
-            The address, with the port that the system chose where 0 was asked for.
+            The address, with the port that is in use.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address cannot be opened.
         """
         listener = socket.socket(address_family(listen), socket.SOCK_STREAM)
         try:
@@ -96,16 +101,16 @@
         while True:
             try:
                 client, _ = await loop.sock_accept(listener)
-            except OSError:  # out of descriptors, or the client has gone
+            except OSError:  # out of descriptors, or the client has disconnected
                 await asyncio.sleep(ACCEPT_RETRY_S)
                 continue
             client.setblocking(False)
             self.accepted += 1
             if not self._refuse(client):
-                self._join(client)
+                self._forward(client)
 
     def _refuse(self, client: socket.socket) -> bool:
-        """Resets a connection if it is to be refused; returns whether it did."""
+        """Resets an accepted connection if it is to be refused; returns whether it was."""
         rule = refusing_rule(self.script, self.accepted)
         is_full = len(self.connections) >= MAX_CONNECTIONS
         if rule is None and not self.refusing and not is_full:
@@ -123,32 +128,32 @@
         client.close()
         return True
 
-    def _join(self, client: socket.socket) -> None:
-        """Joins an accepted connection to a new one to the server."""
+    def _forward(self, client: socket.socket) -> None:
+        """Starts to forward an accepted connection over a new connection to the server."""
         connection = ProxiedConnection(
-            self.accepted, client, self.script, self.log, self._forget
+            self.accepted, client, self.script, self.log, self._remove
         )
         self.connections[self.accepted] = connection
         task = asyncio.get_running_loop().create_task(connection.run(self.target))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _forget(self, number: int) -> None:
+    def _remove(self, number: int) -> None:
         self.connections.pop(number, None)
 
     def log(self, fault: InjectedFault) -> None:
-        """Counts a fault and writes its line."""
+        """Counts an injected fault and writes its line."""
         self.faults += 1
         elapsed_s = None if self.started_at is None else monotonic() - self.started_at
         self.write(fault.log_line(elapsed_s))
 
     def replace_script(self, script: FaultScript) -> None:
-        """Sets another script, for the connections that come from now on; they are numbered from 1 again."""
+        """Replaces the script for connections accepted from now on, which are numbered from 1 again."""
         self.script = script
         self.accepted = 0
 
     async def stop(self) -> None:
-        """Ends all connections and the listener."""
+        """Stops listening and ends all connections."""
         if self._accept_task is not None:
             self._accept_task.cancel()
             with suppress(asyncio.CancelledError):
--- a/loadbalancer/fault/rules.py
+++ b/loadbalancer/fault/rules.py
@@ -1,8 +1,8 @@
-"""Fault injection rules for connections, by the keys of scripts (`docs/fault-tool.md` shows each).
+"""Fault injection rules for connections, as scripts define them (`docs/fault-tool.md` shows each key).
 
-A rule says which connections it affects, in which direction and from which byte on. Connections are numbered
-from 1 in the order in which they are accepted, bytes from 0 in each direction: both are the same in each run
-of the same clients, whatever the clock does.
+A rule names the connections that it affects, the direction, and the byte from which it applies. Connections
+are numbered from 1 in the order in which they are accepted, and bytes from 0 in each direction. Both are the
+same in every run with the same clients, independent of timing.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 import msgspec
 from msgspec import Meta
 
-MAX_RULES = 1000
-MAX_OFFSET = 1 << 40
-FOREVER_S = 0.0  # of a freeze: until the connection ends or a command releases it
+MAX_RULES = 1000  # of each kind of table in a script
+MAX_OFFSET = 1 << 40  # bytes
+FOREVER_S = 0.0  # duration of a freeze that lasts until the connection ends or a command resumes it
 MS_PER_S = 1000
 
 Offset = Annotated[int, Meta(ge=0, le=MAX_OFFSET)]
 Number = Annotated[int, Meta(ge=1)]
-# Lists of two: msgspec 0.23 corrupts memory on a union of a bounded number with a tuple of bounded numbers.
+# Ranges are lists of two numbers: msgspec 0.23 corrupts memory on a union of a bounded number with a tuple of
+# bounded numbers.
 OffsetRange = Annotated[list[Offset], Meta(min_length=2, max_length=2)]
 SizeRange = Annotated[list[Number], Meta(min_length=2, max_length=2)]
 
 
 class FaultKind(StrEnum):
-    """What happens to a connection; the values are those of scripts and of the log."""
+    """What happens to a connection; the values are used in scripts and in the log."""
 
     REFUSE = "refuse"
     DELAY = "delay"
@@ -40,7 +41,7 @@
 
 
 class Direction(StrEnum):
-    """A direction of a connection; the values are those of scripts and of the log."""
+    """A direction of a connection; the values are used in scripts and in the log."""
 
     TO_SERVER = "to_server"
     TO_CLIENT = "to_client"
@@ -52,17 +53,17 @@
 class ScriptTable(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Base of the tables of a script."""
+    """Base class of the tables of a script; unknown keys are rejected."""
 
 
 class ConnectionFilter(ScriptTable, frozen=True):
-    """Which connections a rule affects: `first`, `first + every`, ... up to `last`, or a share of these.
+    """Selects connections of a rule: every `every`-th one from `first` to `last`, or a share of these.
 
     Attributes:
         first: Number of the first connection.
-        last: Number of the last one; None: there is none.
-        every: Connections from one to the next.
-        share: The part of them that is affected.
+        last: Number of the last connection; None for no limit.
+        every: Difference between the numbers of successive connections.
+        share: Fraction of these connections that is affected, above 0 and up to 1, chosen at random.
     """
 
     first: Number = 1
@@ -71,11 +72,11 @@
     share: Annotated[float, Meta(gt=0, le=1)] = 1.0
 
     def matches(self, connection: int, draw: float) -> bool:
-        """Whether a connection is one of them.
+        """Returns whether a connection is selected.
 
         Args:
-            connection: Its number.
-            draw: Its random number for this rule, from 0 to 1.
+            connection: Number of the connection.
+            draw: Random number, from 0 to 1, of this connection for the rule.
         """
         if connection < self.first:
             return False
@@ -94,24 +95,25 @@
         "both_directions": "both",
     },
 ):
-    """One fault. Offsets and lengths in bytes of one direction of one connection.
+    """A fault on connections. Offsets and lengths are bytes of one direction of one connection.
 
     Attributes:
         kind: What happens.
-        direction: To which direction.
-        offset: The byte from which it happens; of a pair, one is drawn.
-        every_bytes: It happens again after so many bytes...
-        times: ...so many times in all.
-        connections: To which connections.
-        name: For the log.
-        duration_ms: Of a delay, a freeze, or the pause between two pieces of a split.
-        bytes_per_s: Of a pace.
-        length: Bytes that are paced, split or corrupted.
-        pieces: Bytes of a piece of a split; of a pair, one is drawn.
-        header: A corruption begins at the first byte of this header's value.
+        direction: The direction that is affected.
+        offset: Byte from which the fault happens; for a range, the offset is drawn from it.
+        every_bytes: Number of bytes after which the fault happens again; None if it does not.
+        times: How many times the fault happens in all.
+        connections: The connections that are affected.
+        name: Name of the rule in the log.
+        duration_ms: Duration of a delay, of a freeze, or of the pause between two pieces of a split, in
+            milliseconds.
+        bytes_per_s: Rate of a pace.
+        length: Number of bytes that are paced, split or corrupted.
+        pieces: Number of bytes in each piece of a split; for a range, each is drawn from it.
+        header: Name of the header at the first byte of whose value a corruption starts.
         occurrence: Which occurrence of the header is meant, from 1.
-        mask: Bits that a corruption flips; drawn if absent.
-        both_directions: A freeze stops the other direction too.
+        mask: Bits that a corruption flips in each byte; drawn for each byte if absent.
+        both_directions: Whether a freeze also stops the other direction.
     """
 
     kind: FaultKind
@@ -131,16 +133,21 @@
     both_directions: bool = False
 
     def duration_s(self) -> float:
-        """The duration in seconds; 0 if there is none."""
+        """Returns the duration in seconds; 0 if the rule has none."""
         return (self.duration_ms or 0.0) / MS_PER_S
 
     def freeze_s(self) -> float:
-        """The duration of a freeze in seconds."""
+        """Returns the duration of a freeze in seconds; `FOREVER_S` if the rule has none."""
         return FOREVER_S if self.duration_ms is None else self.duration_ms / MS_PER_S
 
 
 class FaultScript(ScriptTable, frozen=True):
-    """All rules, and the seed from which everything random is drawn."""
+    """The rules of a script for connections.
+
+    Attributes:
+        seed: Seed of all random numbers.
+        rules: The rules, in the order of the script.
+    """
 
     seed: Annotated[int, Meta(ge=0, le=(1 << 63) - 1)] = 1
     rules: Annotated[tuple[FaultRule, ...], Meta(max_length=MAX_RULES)] = msgspec.field(
--- a/loadbalancer/fault/script.py
+++ b/loadbalancer/fault/script.py
@@ -1,4 +1,4 @@
-"""Reads scripts of the fault tool: TOML, checked as a whole before anything runs."""
+"""Reads scripts of the fault tool: TOML files that are checked completely before anything runs."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class ScriptError(LoadBalancerError):
-    """A script of faults that cannot be used; nothing of it is played."""
+    """A fault script that cannot be used; no part of it is run."""
 
     remedy: ClassVar[str] = (
-        "correct the script where the line says; `fault --check` reads it alone"
+        "correct the script at the place named; `fault --check` only checks the script"
     )
 
 
 class ScriptUnreadableError(ScriptError):
-    """A script that is not there, or not for this user to read."""
+    """A script that does not exist, or that this user may not read."""
 
     code: ClassVar[str] = "ScriptUnreadable"
     remedy: ClassVar[str] = (
@@ -42,35 +42,35 @@
 
     code: ClassVar[str] = "ScriptMalformed"
     remedy: ClassVar[str] = (
-        "mend the script at the line and column named; the form is TOML"
+        "fix the script at the line and column named; scripts are TOML files"
     )
 
 
 class ScriptKeyError(ScriptError):
-    """A script's rule with a key that it has no use for, or without one that it needs."""
+    """A table of a script has a key that it does not use, or lacks a key that it requires."""
 
     code: ClassVar[str] = "ScriptKey"
     remedy: ClassVar[str] = (
-        "take that key out, or add it: docs/fault-tool.md lists the keys of each kind"
+        "remove that key, or add it: docs/fault-tool.md lists the keys of each kind"
     )
 
 
 class ScriptValueError(ScriptError):
-    """A key of a script has a value of another kind, or out of its range."""
+    """A key of a script has a value of the wrong type or outside its range."""
 
     code: ClassVar[str] = "ScriptValue"
     remedy: ClassVar[str] = (
-        "give that key a value as docs/fault-tool.md or docs/swarm.md has it"
+        "give that key a value as docs/fault-tool.md or docs/swarm.md describes it"
     )
 
 
 @dataclass(frozen=True)
 class KindKeys:
-    """The keys that a kind of fault has of its own.
+    """The keys of a rule that are specific to one kind of fault.
 
     Attributes:
-        required: It needs these.
-        optional: It may have these.
+        required: Keys that the kind requires.
+        optional: Keys that the kind may have.
     """
 
     required: frozenset[str] = frozenset()
@@ -78,11 +78,12 @@
 
 
 def kind_keys(required: Iterable[str] = (), optional: Iterable[str] = ()) -> KindKeys:
-    """The keys of a kind of fault."""
+    """Creates the `KindKeys` of a kind of fault."""
     return KindKeys(frozenset(required), frozenset(optional))
 
 
-KEYS_OF_KINDS: dict[str, KindKeys] = {
+# Keys specific to each kind of fault on connections.
+KEYS_BY_KIND: dict[str, KindKeys] = {
     FaultKind.REFUSE: kind_keys(),
     FaultKind.DELAY: kind_keys({"ms"}),
     FaultKind.PACE: kind_keys({"bytes_per_s"}, {"length"}),
@@ -94,10 +95,10 @@
     FaultKind.HALF_CLOSE: kind_keys(),
 }
 ALL_KIND_KEYS = frozenset().union(
-    *(keys.required | keys.optional for keys in KEYS_OF_KINDS.values())
+    *(keys.required | keys.optional for keys in KEYS_BY_KIND.values())
 )
-# Kinds that happen to a connection once, and so never again after some bytes.
-SINGLE_KINDS = (
+# Kinds of faults that can happen only once to a connection, so that `every_bytes` is not allowed.
+ONCE_KINDS = (
     FaultKind.REFUSE,
     FaultKind.CLOSE,
     FaultKind.RESET,
@@ -106,19 +107,26 @@
 
 
 def load_script(path: Path) -> FaultScript:
-    """Reads a script.
+    """Reads and checks a script.
+
+    Args:
+        path: The script's file.
 
     Raises:
-        ScriptError: It cannot be used.
+        ScriptError: The script cannot be used.
     """
     return parse_script(read_tables(path), str(path))
 
 
 def read_tables(path: Path) -> dict[str, Any]:
-    """Reads a script's tables, not checked yet.
+    """Reads the tables of a script without checking their contents.
+
+    Args:
+        path: The script's file.
 
     Raises:
-        ScriptError: The file cannot be read.
+        ScriptUnreadableError: The file cannot be read.
+        ScriptMalformedError: The file is not TOML.
     """
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
@@ -129,14 +137,14 @@
 
 
 def parse_script(table: dict[str, Any], where: str) -> FaultScript:
-    """Makes a script of decoded TOML; its `[[datagram]]` tables are left to `parse_datagram_rules`.
+    """Creates a script from decoded TOML; its `[[datagram]]` tables are left to `parse_datagram_rules`.
 
     Args:
-        table: The whole file.
-        where: The file's name, for errors.
+        table: The decoded contents of the file.
+        where: File name of the script, for errors.
 
     Raises:
-        ScriptError: It cannot be used.
+        ScriptError: The script cannot be used.
     """
     check_keys(table, ("seed", "rule", "datagram"), where, "")
     table = {key: value for key, value in table.items() if key != "datagram"}
@@ -156,37 +164,39 @@
 def validation_error(
     error: msgspec.ValidationError, where: str, path: str = ""
 ) -> ScriptValueError:
-    """Makes msgspec's error one of a script.
+    """Converts a validation error of msgspec to an error that names the key of the script.
 
     Args:
-        error: What msgspec says.
-        where: The file's name.
-        path: The key path of the table that was converted, with its dot.
+        error: The error of msgspec.
+        where: File name of the script.
+        path: Key path of the table that was converted, with a final dot; empty for the entire script.
     """
-    what, _, key = str(error).partition(" - at ")
+    reason, _, key = str(error).partition(" - at ")
     key = key.strip("`").removeprefix("$.") or "script"
-    return ScriptValueError(what, f"{where}: {path}{key}")
+    return ScriptValueError(reason, f"{where}: {path}{key}")
 
 
 def check_keys(
     table: dict[str, Any], known: tuple[str, ...], where: str, path: str
 ) -> None:
-    """Checks that a table has known keys only.
+    """Checks that a table has no unknown keys.
 
     Args:
         table: The table.
         known: All keys that it may have.
-        where: The file's name.
-        path: The table's key path, with its dot.
+        where: File name of the script.
+        path: Key path of the table, with a final dot; empty for the entire script.
 
     Raises:
-        ScriptKeyError: A key is not known.
+        ScriptKeyError: The table has an unknown key.
     """
     for key in table:
         if key not in known:
-            near = get_close_matches(key, known, 1)
+            close_matches = get_close_matches(key, known, 1)
             hint = (
-                f"did you mean {near[0]}?" if near else f"known are {', '.join(known)}"
+                f"did you mean {close_matches[0]}?"
+                if close_matches
+                else f"known are {', '.join(known)}"
             )
             raise ScriptKeyError(f"unknown key; {hint}", f"{where}: {path}{key}")
 
@@ -194,16 +204,16 @@
 def check_required_keys(
     table: dict[str, Any], kind: str, required: frozenset[str], place: str
 ) -> None:
-    """Checks that a rule has the keys that its kind needs.
+    """Checks that a rule has the keys that its kind requires.
 
     Args:
-        table: The rule.
-        kind: Its kind.
-        required: The keys.
-        place: The file's name and the rule's key path.
+        table: The rule's table.
+        kind: Kind of the rule.
+        required: Keys that the kind requires.
+        place: File name of the script and key path of the rule.
 
     Raises:
-        ScriptKeyError: A key is missing.
+        ScriptKeyError: A required key is missing.
     """
     for key in sorted(required - table.keys()):
         raise ScriptKeyError(
@@ -212,17 +222,24 @@
 
 
 def _check_rule_keys(rule: dict[str, Any], path: str, where: str) -> None:
-    """Rejects keys that the kind does not use: a rule that does less than it says misleads."""
+    """Rejects unknown keys and keys that the rule's kind does not use.
+
+    A key without effect would mislead: the rule would do less than its table states.
+    """
     check_keys(rule, FaultRule.__struct_encode_fields__, where, path + ".")
     if isinstance(rule.get("connections"), dict):
         known = ConnectionFilter.__struct_encode_fields__
         check_keys(rule["connections"], known, where, path + ".connections.")
     kind = rule.get("kind")
-    if kind not in KEYS_OF_KINDS:
-        near = get_close_matches(str(kind), KEYS_OF_KINDS, 1)
-        hint = f"did you mean {near[0]}?" if near else ", ".join(KEYS_OF_KINDS)
+    if kind not in KEYS_BY_KIND:
+        close_matches = get_close_matches(str(kind), KEYS_BY_KIND, 1)
+        hint = (
+            f"did you mean {close_matches[0]}?"
+            if close_matches
+            else ", ".join(KEYS_BY_KIND)
+        )
         raise ScriptValueError(f"{kind!r}; {hint}", f"{where}: {path}.kind")
-    keys = KEYS_OF_KINDS[kind]
+    keys = KEYS_BY_KIND[kind]
     check_required_keys(rule, kind, keys.required, f"{where}: {path}")
     for key in sorted((rule.keys() & ALL_KIND_KEYS) - keys.required - keys.optional):
         raise ScriptKeyError(
@@ -231,29 +248,38 @@
 
 
 def _check_rule_values(rule: FaultRule, place: str) -> None:
-    """Checks what the type of a key cannot say."""
+    """Checks what the types of the keys cannot express."""
     if isinstance(rule.offset, list) and rule.offset[0] > rule.offset[1]:
         first, last = rule.offset
-        what = f"from {first} to {last}: the first must not be larger"
-        raise ScriptValueError(what, f"{place}.at")
+        reason = f"from {first} to {last}: the first must not exceed the second"
+        raise ScriptValueError(reason, f"{place}.at")
     if isinstance(rule.pieces, list) and rule.pieces[0] > rule.pieces[1]:
-        what = "the first must not be larger than the second"
-        raise ScriptValueError(what, f"{place}.pieces")
+        reason = "the first must not exceed the second"
+        raise ScriptValueError(reason, f"{place}.pieces")
     _check_repetition(rule, place)
     if rule.kind == FaultKind.REFUSE and rule.offset != 0:
-        raise ScriptValueError("a refusal comes before the first byte", f"{place}.at")
+        raise ScriptValueError(
+            "a refusal happens before the first byte; its offset must be 0",
+            f"{place}.at",
+        )
     if rule.occurrence > 1 and rule.header is None:
-        what = "counts places of a header; name the header"
-        raise ScriptKeyError(what, f"{place}.message")
+        reason = "selects an occurrence of a header; the key `header` is missing"
+        raise ScriptKeyError(reason, f"{place}.message")
     connections = rule.connections
     if connections.last is not None and connections.last < connections.first:
-        raise ScriptValueError("is below first", f"{place}.connections.last")
+        raise ScriptValueError(
+            "is below first; the last connection must not be before the first",
+            f"{place}.connections.last",
+        )
 
 
 def _check_repetition(rule: FaultRule, place: str) -> None:
+    """Checks that repetition has a distance and is allowed for the rule's kind."""
     if rule.times > 1 and rule.every_bytes is None:
-        what = "every_bytes says after how many bytes; it is missing"
-        raise ScriptKeyError(what, f"{place}.times")
-    if rule.every_bytes is not None and rule.kind in SINGLE_KINDS:
-        what = f"a {rule.kind} happens once to a connection"
-        raise ScriptKeyError(what, f"{place}.every_bytes")
+        reason = (
+            "every_bytes says after how many bytes a fault is repeated; it is missing"
+        )
+        raise ScriptKeyError(reason, f"{place}.times")
+    if rule.every_bytes is not None and rule.kind in ONCE_KINDS:
+        reason = f"a {rule.kind} happens only once to a connection"
+        raise ScriptKeyError(reason, f"{place}.every_bytes")
--- a/loadbalancer/fault/stream_injector.py
+++ b/loadbalancer/fault/stream_injector.py
@@ -1,8 +1,9 @@
-"""Decides what becomes of each byte: a pure state machine for each direction of a connection.
+"""Decides what happens to each byte: a pure state machine for each direction of a connection.
 
-It takes bytes as they come and gives steps. The same bytes give the same steps with the same offsets, however
-they were cut on their way here: every fault begins at the byte that the script or its seed names, never at
-the edge of a read. No clock, no socket, no randomness but that of the seed.
+It consumes bytes as they are read and returns steps to perform. The same bytes give the same faults at the
+same offsets, however they are split into reads: every fault starts at the byte that the script or its seed
+determines, never at the boundary of a read. The module uses no clock and no socket, and no randomness but
+that of the seed.
 """
 
 from __future__ import annotations
@@ -29,27 +30,36 @@
     merge_writes,
 )
 
-PIECE_PAUSE_S = (
-    0.001  # between pieces that are to arrive apart, where the rule does not say
-)
-PACE_STEP_S = (
-    0.05  # where bytes are paced, those of so many seconds are passed on at once
-)
-UNLIMITED = 1 << 41  # bytes; beyond each offset of a script
-LONGEST_CHUNK = 1 << 30
-MAX_MASK = 255
+# Pause between the pieces of a split whose rule has no duration, so that they arrive separately.
+PIECE_PAUSE_S = 0.001
+# Paced bytes are forwarded in chunks; each chunk has the bytes of this time at the rule's rate.
+PACE_STEP_S = 0.05
+# Length of a fault without an end; more than any offset of a script.
+UNLIMITED_BYTES = 1 << 41
+MAX_CHUNK_BYTES = 1 << 30  # forwarded as one chunk where no fault starts or ends
+MAX_MASK = 255  # all bits of a byte
 
 
 def rule_random(seed: int, rule: int, connection: int) -> Random:
-    """The random numbers of one rule on one connection.
+    """Creates the random generator of a rule on a connection.
+
+    Each pair of rule and connection has its own, so that rules do not influence each other's random numbers.
 
-    They are apart from all others, so that rules do not disturb each other's draws.
+    Args:
+        seed: Seed of the script.
+        rule: Index of the rule.
+        connection: Number of the connection.
     """
     return Random(f"{seed}/{rule}/{connection}")
 
 
 def refusing_rule(script: FaultScript, connection: int) -> int | None:
-    """The index of the rule that refuses a connection; None if it is accepted."""
+    """Returns the index of the rule that refuses a connection; None if no rule does.
+
+    Args:
+        script: The script.
+        connection: Number of the connection.
+    """
     for index, rule in enumerate(script.rules):
         if rule.kind == FaultKind.REFUSE:
             draw = rule_random(script.seed, index, connection).random()
@@ -59,12 +69,15 @@
 
 
 class _ArmedRule:
-    """One rule on one direction of one connection, with its draws made.
+    """A rule on one direction of one connection, with its random offset drawn.
 
     Attributes:
-        offset: Where it triggers next.
-        remaining: How many times it is still to trigger.
-        finder: Looks for the header that it waits for, if any.
+        rule: The rule.
+        index: Index of the rule in the script; `COMMAND_RULE` for the rule of a command.
+        random: Generator of the rule's random numbers.
+        offset: Byte at which it triggers next.
+        remaining: How many more times it triggers.
+        finder: Finds the header that the rule waits for; None if it waits for none.
     """
 
     def __init__(self, rule: FaultRule, index: int, random: Random) -> None:
@@ -81,11 +94,11 @@
             self.finder = HeaderValueFinder(rule.header, rule.occurrence)
 
     def is_due(self, offset: int) -> bool:
-        """Whether it triggers at this offset."""
+        """Returns whether the rule triggers at this offset."""
         return self.remaining > 0 and self.finder is None and self.offset <= offset
 
     def rearm(self, offset: int) -> None:
-        """It triggers now: finds where it triggers next, if anywhere."""
+        """Notes that the rule triggers at `offset`, and prepares its next occurrence if there is one."""
         self.remaining -= 1
         if self.remaining > 0 and self.rule.every_bytes is not None:
             self.offset = offset + self.rule.every_bytes
@@ -95,7 +108,7 @@
             self.remaining = 0
 
     def next_piece(self) -> int:
-        """Bytes of the next piece of a split."""
+        """Returns the number of bytes in the next piece of a split."""
         pieces = self.rule.pieces
         assert pieces is not None
         if isinstance(pieces, int):
@@ -103,17 +116,17 @@
         return self.random.randint(pieces[0], pieces[1])
 
     def corrupt(self, chunk: bytes) -> bytes:
-        """Flips bits of each byte; a mask is never 0, for a byte that stays as it was is no fault."""
+        """Flips bits of each byte. A mask is never 0, as an unchanged byte would be no fault."""
         mask, random = self.rule.mask, self.random
         return bytes(byte ^ (mask or random.randint(1, MAX_MASK)) for byte in chunk)
 
 
 class _ByteRange(NamedTuple):
-    """Bytes that are being paced, split or corrupted.
+    """A range of bytes that is being paced, split or corrupted.
 
     Attributes:
-        armed: By which rule.
-        end: The offset after the last byte.
+        armed: The rule that causes it.
+        end: Offset after the last byte.
     """
 
     armed: _ArmedRule
@@ -121,11 +134,15 @@
 
 
 class StreamInjector:
-    """One direction of one connection.
+    """Applies the rules of a script to one direction of one connection.
 
     Attributes:
-        offset: Of the next byte.
-        ended: Nothing is passed on in this direction any more.
+        connection: Number of the connection.
+        direction: The direction.
+        offset: Offset of the next byte.
+        ended: Whether a fault has ended this direction; later bytes are dropped.
+        seed: Seed of the script.
+        armed_rules: The rules that affect this direction.
     """
 
     def __init__(
@@ -144,20 +161,21 @@
         self._pace: _ByteRange | None = None
         self._split: _ByteRange | None = None
         self._corruption: _ByteRange | None = None
-        self._scanned_to = 0  # headers have been looked for up to this offset
-        self._piece_left = 0  # bytes of the piece that is being gathered
-        self._commands = 0
+        self._scanned_to = 0  # offset up to which headers have been looked for
+        self._piece_left = 0  # bytes missing from the current piece of a split
+        self._commands = 0  # rules added by commands
 
     def _is_affected(self, rule: FaultRule, index: int) -> bool:
+        """Returns whether a rule affects this direction of this connection."""
         if rule.direction != self.direction or rule.kind == FaultKind.REFUSE:
             return False
         draw = rule_random(self.seed, index, self.connection).random()
         return rule.connections.matches(self.connection, draw)
 
-    # ---- called by the host ---------------------------------------------------------------------------
+    # ---- called by the connection ---------------------------------------------------------------------
 
     def add_rule(self, rule: FaultRule) -> None:
-        """Adds a command's rule: from the next byte on, or from its offset if that is still to come."""
+        """Adds the rule of a command; it applies from its offset on, but not before the next byte."""
         self._commands += 1
         random = Random(f"{self.seed}/command{self._commands}/{self.connection}")
         armed = _ArmedRule(rule, COMMAND_RULE, random)
@@ -165,16 +183,16 @@
         self.armed_rules.append(armed)
 
     def clear_rules(self) -> None:
-        """No rule triggers any more; what has ended stays so."""
+        """Removes all rules; a direction that a fault has ended stays ended."""
         self.armed_rules.clear()
         self._pace = self._split = self._corruption = None
 
     def start(self) -> list[Step]:
-        """What happens before the first byte has come: to a peer that only listens, too."""
+        """Returns the steps that are due before the first byte, even if the source never sends one."""
         return list(self._trigger_due()) if not self.ended else []
 
     def feed(self, data: bytes) -> list[Step]:
-        """What becomes of the next bytes."""
+        """Processes the next bytes and returns the steps to perform."""
         steps: list[Step] = []
         start = 0
         while start < len(data) and not self.ended:
@@ -186,15 +204,15 @@
             chunk = data[start:end]
             self.offset += len(chunk)
             start = end
-            steps += self._pass_on(chunk)
+            steps += self._forward(chunk)
         if not self.ended:
             steps += self._trigger_due()
         return merge_writes(steps)
 
-    # ---- where faults begin and end -------------------------------------------------------------------
+    # ---- where faults start and end -------------------------------------------------------------------
 
     def _unbroken_length(self) -> int:
-        """How many bytes share one fate: up to where the next fault begins or the present one ends."""
+        """Returns the number of next bytes that are treated alike, before a fault starts or ends."""
         marks = [
             armed.offset
             for armed in self.armed_rules
@@ -206,7 +224,7 @@
         ]
         length = min(
             (mark - self.offset for mark in marks if mark > self.offset),
-            default=LONGEST_CHUNK,
+            default=MAX_CHUNK_BYTES,
         )
         if self._pace is not None:
             length = min(length, max(1, int(_bytes_per_s(self._pace) * PACE_STEP_S)))
@@ -215,7 +233,11 @@
         return length
 
     def _scan_headers(self, data: bytes, start: int, end: int) -> int:
-        """The end of what passes before a header's value begins, where a rule waits for one."""
+        """Looks for headers that rules wait for in `data[start:end]`.
+
+        Returns:
+            Index of the first byte of a value that a rule waits for; `end` if there is none.
+        """
         waiting = [
             armed
             for armed in self.armed_rules
@@ -236,15 +258,16 @@
         return end
 
     def _trigger_due(self) -> Iterator[Step]:
-        """The faults that begin at the next byte."""
+        """Triggers the rules that are due at the next byte, and drops faults that have ended."""
         for armed in self.armed_rules:
             if armed.is_due(self.offset) and not self.ended:
                 yield from self._trigger(armed)
-        self._pace = self._unless_over(self._pace)
-        self._split = self._unless_over(self._split)
-        self._corruption = self._unless_over(self._corruption)
+        self._pace = self._unless_ended(self._pace)
+        self._split = self._unless_ended(self._split)
+        self._corruption = self._unless_ended(self._corruption)
 
-    def _unless_over(self, byte_range: _ByteRange | None) -> _ByteRange | None:
+    def _unless_ended(self, byte_range: _ByteRange | None) -> _ByteRange | None:
+        """Returns the range; None if it ends before the next byte."""
         if byte_range is None or byte_range.end <= self.offset:
             return None
         return byte_range
@@ -252,7 +275,7 @@
     # ---- faults ---------------------------------------------------------------------------------------
 
     def _trigger(self, armed: _ArmedRule) -> Iterator[Step]:
-        """One rule triggers at the next byte."""
+        """Triggers a rule at the next byte."""
         rule, kind = armed.rule, armed.rule.kind
         armed.rearm(self.offset)
         yield self._injected(armed)
@@ -272,10 +295,12 @@
             yield EndConnection(kind)
 
     def _byte_range(self, armed: _ArmedRule, length: int | None) -> _ByteRange:
-        end = UNLIMITED if length is None else length
-        return _ByteRange(armed, self.offset + end)
+        """Returns the range of `length` bytes from the next one on; None for no end."""
+        limit = UNLIMITED_BYTES if length is None else length
+        return _ByteRange(armed, self.offset + limit)
 
     def _injected(self, armed: _ArmedRule) -> InjectedFault:
+        """Returns the step that logs a fault at the next byte."""
         detail = {
             key: value
             for key, value in _log_detail(armed.rule).items()
@@ -290,8 +315,8 @@
             detail,
         )
 
-    def _pass_on(self, chunk: bytes) -> Iterator[Step]:
-        """Bytes that share one fate are passed on in it."""
+    def _forward(self, chunk: bytes) -> Iterator[Step]:
+        """Returns the steps that forward bytes which are treated alike."""
         if not chunk:
             return
         if self._corruption is not None:
@@ -308,7 +333,7 @@
 
 
 def _find_values(waiting: list[_ArmedRule], offset: int, byte: int) -> bool:
-    """Shows a byte to the rules that wait for a header; returns whether one of them is due at it."""
+    """Feeds a byte to the rules that wait for a header; returns whether one of them is due at this byte."""
     found = False
     for armed in waiting:
         if (
@@ -322,13 +347,14 @@
 
 
 def _bytes_per_s(pace: _ByteRange) -> float:
+    """Returns the rate of a paced range."""
     bytes_per_s = pace.armed.rule.bytes_per_s
     assert bytes_per_s is not None
     return bytes_per_s
 
 
 def _log_detail(rule: FaultRule) -> dict[str, Any]:
-    """What the log says of a fault besides, by the published keys."""
+    """Returns the values of a rule that the log adds to a fault, by their published keys."""
     detail: dict[str, Any] = {"name": rule.name} if rule.name else {}
     if rule.kind == FaultKind.DELAY:
         detail["ms"] = rule.duration_ms or 0.0
--- a/loadbalancer/fault/stream_steps.py
+++ b/loadbalancer/fault/stream_steps.py
@@ -1,4 +1,4 @@
-"""What is to be done with the bytes of one direction of a connection, step by step."""
+"""The steps that a stream injector returns for the bytes of one direction of a connection."""
 
 from __future__ import annotations
 
@@ -8,31 +8,39 @@
 
 from loadbalancer.fault.rules import Direction, FaultKind
 
-COMMAND_RULE = -1  # in place of a rule's index, where a command caused the fault
-TIME_DIGITS = 6  # of seconds in the log
+COMMAND_RULE = -1  # index of the rule of a fault that a command caused
+TIME_DIGITS = 6  # decimal places of the seconds in the log
 
 
 @dataclass(frozen=True)
 class SendBytes:
-    """These bytes are passed on, in one write."""
+    """Forwards bytes in one write.
+
+    Attributes:
+        data: The bytes.
+    """
 
     data: bytes
 
 
 @dataclass(frozen=True)
 class Pause:
-    """Nothing is passed on in this direction for so many seconds."""
+    """Forwards nothing in this direction for some time.
+
+    Attributes:
+        seconds: Duration of the pause.
+    """
 
     seconds: float
 
 
 @dataclass(frozen=True)
 class Freeze:
-    """Nothing is read or written for so long.
+    """Stops reading and writing for some time.
 
     Attributes:
-        seconds: `FOREVER_S`: until a command releases it.
-        both_directions: In both directions of the connection.
+        seconds: Duration of the freeze; `FOREVER_S` for until a command resumes the connection.
+        both_directions: Whether the other direction of the connection is frozen too.
     """
 
     seconds: float
@@ -41,22 +49,26 @@
 
 @dataclass(frozen=True)
 class EndConnection:
-    """The connection ends here: `CLOSE` (both ways, in order), `RESET`, or `HALF_CLOSE` (this way alone)."""
+    """Ends the connection.
+
+    Attributes:
+        kind: `CLOSE` (both directions, in order), `RESET`, or `HALF_CLOSE` (this direction only).
+    """
 
     kind: FaultKind
 
 
 @dataclass(frozen=True)
 class InjectedFault:
-    """A fault happens; one line of the log.
+    """A fault that is injected; it is written as one line of the log.
 
     Attributes:
-        connection: The connection's number.
+        connection: Number of the connection.
         direction: The direction that is affected.
-        offset: The first byte that is affected.
+        offset: Offset of the first byte that is affected.
         kind: What happens.
-        rule: The rule's index in the script; `COMMAND_RULE` for a command.
-        detail: What the log says of it besides.
+        rule: Index of the rule in the script; `COMMAND_RULE` for the rule of a command.
+        detail: Further keys and values of the line.
     """
 
     connection: int
@@ -67,10 +79,10 @@
     detail: dict[str, Any] = field(default_factory=dict)
 
     def log_line(self, elapsed_s: float | None) -> str:
-        """The fault as one JSON line, by the published keys.
+        """Returns the fault as one JSON line, by its published keys.
 
         Args:
-            elapsed_s: Seconds since the tool's start; None: the line has nothing that depends on time.
+            elapsed_s: Seconds since the start of the tool; None for a line in which nothing depends on time.
         """
         table: dict[str, Any] = {
             "connection": self.connection,
@@ -89,7 +101,7 @@
 
 
 def merge_writes(steps: list[Step]) -> list[Step]:
-    """Joins the writes that nothing parts."""
+    """Merges successive writes into one."""
     merged: list[Step] = []
     for step in steps:
         last = merged[-1] if merged else None
