--- a/loadbalancer/cli/__init__.py
+++ b/loadbalancer/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. The node's own start imports nothing of it."""
+"""The command line. Starting a node does not import this package."""
--- a/loadbalancer/cli/exit.py
+++ b/loadbalancer/cli/exit.py
@@ -1,4 +1,4 @@
-"""How a command ends, and its errors on options and output files."""
+"""Exit status of the commands, and their errors on options and output files."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     """Exit status of every command.
 
     Attributes:
-        OK: It did what was asked.
-        FAILED: It ran, and something that was expected did not hold.
-        UNUSABLE: Its options or files cannot be used; nothing was played.
+        OK: The command succeeded.
+        FAILED: The command ran, but an expectation did not hold.
+        UNUSABLE: Its options or files cannot be used, or its run could not be completed.
     """
 
     OK = 0
@@ -26,23 +26,28 @@
 
 
 class OptionError(LoadBalancerError):
-    """Options of a command that do not go together, or are not written as they must be."""
+    """Options of a command that cannot be combined, or that have an invalid form."""
 
     remedy: ClassVar[str] = (
-        "write the option as the line says; the command's --help shows all of them"
+        "correct the option that the message names; the command's --help lists all options"
     )
 
 
 class NotWritableError(LoadBalancerError):
-    """A file or folder for results that cannot be written."""
+    """A file or directory for results that cannot be written."""
 
     code: ClassVar[str] = "NotWritable"
     remedy: ClassVar[str] = (
-        "name a place that you may write to and that has room; nothing was kept there"
+        "name a path that you may write to and that has free space; no results were kept"
     )
 
 
 def exit_with_error(error: LoadBalancerError, prefix: str = "") -> NoReturn:
-    """Ends the command with one line on standard error: what is wrong, where, and what to do."""
+    """Ends the command with status `UNUSABLE` and one line on standard error.
+
+    Args:
+        error: The error; the line says what is wrong, where, and what to do.
+        prefix: Text before the error, such as the action that failed.
+    """
     click.echo(f"loadbalancer: {prefix}{error.line()}", err=True)
     sys.exit(ExitStatus.UNUSABLE)
--- a/loadbalancer/cli/fault.py
+++ b/loadbalancer/cli/fault.py
@@ -24,12 +24,24 @@
 from loadbalancer.fault.script import load_script, parse_script, read_tables
 from loadbalancer.node.listen import ListenError, listening
 
-END_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 @dataclass(frozen=True)
 class FaultOptions:
-    """The options of the command, by their names there."""
+    """The options of the command.
+
+    Attributes:
+        listen: Address that clients connect to.
+        target: Address of the server.
+        members: Members that exchange datagrams, as NAME=FRONT,REAL.
+        script: File of the fault script; None for no faults.
+        seed: Replaces the seed of the script.
+        control: Path of a Unix socket, or address, that accepts commands.
+        log: Receives the log, one JSON line for each fault.
+        times: Whether the lines carry the seconds since the start.
+        check: Whether to check the script only.
+    """
 
     listen: str | None
     target: str | None
@@ -44,44 +56,46 @@
 
 @click.command()
 @click.option(
-    "--listen", metavar="ADDRESS", help="Where clients connect: 127.0.0.1:9000."
+    "--listen",
+    metavar="ADDRESS",
+    help="Address that clients connect to, such as 127.0.0.1:9000.",
 )
-@click.option("--to", "target", metavar="ADDRESS", help="Where they are passed on to.")
+@click.option("--to", "target", metavar="ADDRESS", help="Address of the server.")
 @click.option(
     "--member",
     "members",
     multiple=True,
     metavar="NAME=FRONT,REAL",
-    help="Datagrams, in place of connections: others reach NAME at FRONT, its process listens at REAL.",
+    help="Proxy datagrams: others reach member NAME at FRONT, its process listens on REAL. Repeatable.",
 )
 @click.option(
     "--script",
     type=click.Path(path_type=Path),
-    help="What is done to the bytes; nothing without.",
+    help="Fault script (TOML); without it no fault is injected.",
 )
-@click.option("--seed", type=click.IntRange(0), help="In place of the script's own.")
+@click.option("--seed", type=click.IntRange(0), help="Replaces the seed of the script.")
 @click.option(
-    "--control", metavar="PATH|ADDRESS", help="A Unix or loopback socket for commands."
+    "--control",
+    metavar="PATH|ADDRESS",
+    help="Unix or loopback socket that accepts commands.",
 )
 @click.option(
     "--log",
     type=click.File("a", lazy=False),
     default="-",
-    help="A JSON line for each fault.",
+    help="File to which each fault is appended as a JSON line; - is standard output.",
 )
 @click.option(
     "--times",
     is_flag=True,
-    help="Lines carry the seconds since the start; they then differ by run.",
-)
-@click.option(
-    "--check", is_flag=True, help="Only read the script and say what is wrong with it."
+    help="Add the seconds since the start to each line; the log then differs between runs.",
 )
+@click.option("--check", is_flag=True, help="Only check the script.")
 def fault(**values: Any) -> None:
-    """Delay, pace, cut, freeze, split and garble what passes between two loopback sockets.
+    """Delay, pace, cut, freeze, split and corrupt traffic between two loopback sockets.
 
-    The same script gives the same faults at the same bytes of the same connections in each run. With
-    --member, given for each of several, the [[datagram]] rules hold for what they send each other.
+    The same script injects the same faults at the same bytes of the same connections in every run. With
+    --member, given once for each member, the [[datagram]] rules apply to the datagrams between the members.
     """
     options = FaultOptions(**values)
     try:
@@ -96,10 +110,10 @@
 
 
 def _proxy_connections(options: FaultOptions) -> None:
-    """Between clients and a server."""
+    """Runs the proxy for connections between clients and a server."""
     if options.listen is None or options.target is None:
         raise OptionError(
-            "needed, or --member for each of several that send datagrams",
+            "both are required, unless --member is given for each member that sends datagrams",
             "--listen and --to",
         )
     script = FaultScript()
@@ -117,22 +131,25 @@
 
     def write(line: str) -> None:
         options.log.write(line + "\n")
-        options.log.flush()  # whoever reads along sees each fault as it happens
+        options.log.flush()  # a reader of the log sees each fault as it happens
 
     proxy = FaultProxy(script, target, write, options.times)
     asyncio.run(_serve_connections(proxy, listen, control))
 
 
 def _control_address(text: str) -> Path | Address:
+    """Parses --control: a text with a slash or without a colon is a path."""
     if "/" in text or ":" not in text:
         return Path(text)
     return parse_loopback(text)
 
 
 def _proxy_datagrams(options: FaultOptions) -> None:
-    """Between named members."""
+    """Runs the proxy for datagrams between named members."""
     if options.listen or options.target or options.control:
-        raise OptionError("goes without --listen, --to and --control", "--member")
+        raise OptionError(
+            "cannot be combined with --listen, --to and --control", "--member"
+        )
     seed, rules = _load_datagram_rules(options.script)
     members = _parse_members(options.members)
     if options.seed is not None:
@@ -150,80 +167,91 @@
 
 
 def _load_datagram_rules(script: Path | None) -> tuple[int, tuple[DatagramRule, ...]]:
-    """A script's seed and its rules for datagrams."""
+    """Reads the seed of a script and its rules for datagrams."""
     tables = read_tables(script) if script is not None else {}
     seed = parse_script(tables, str(script)).seed
     return seed, parse_datagram_rules(tables.get("datagram", []), str(script))
 
 
 def _parse_members(texts: tuple[str, ...]) -> Mapping[str, tuple[Address, Address]]:
-    """By member: its front, and where its process listens."""
+    """Parses --member options.
+
+    Returns:
+        The proxy address and the process's address of each member, by name.
+    """
     members: dict[str, tuple[Address, Address]] = {}
     for text in texts:
         name, equals, addresses = text.partition("=")
-        front, comma, real = addresses.partition(",")
+        proxy_address, comma, process_address = addresses.partition(",")
         if not (name and equals and comma) or name in members:
             raise OptionError(
-                "write it as NAME=FRONT,REAL, each name once", f"--member {text}"
+                "must be NAME=FRONT,REAL, with a different name for each member",
+                f"--member {text}",
             )
-        members[name] = parse_loopback(front), parse_loopback(real)
+        members[name] = parse_loopback(proxy_address), parse_loopback(process_address)
     return members
 
 
 def _report_check(options: FaultOptions, rules: str, seed: int) -> None:
-    click.echo(f"{options.script or 'no script'}: good, {rules}, seed {seed}.")
+    """Prints the result of --check."""
+    click.echo(f"{options.script or 'no script'}: valid, {rules}, seed {seed}.")
 
 
-def _ended_by_signal() -> asyncio.Event:
-    """An event that SIGTERM and SIGINT set."""
-    ended = asyncio.Event()
-    for number in END_SIGNALS:
-        asyncio.get_running_loop().add_signal_handler(number, ended.set)
-    return ended
+def _stop_on_signal() -> asyncio.Event:
+    """Returns an event that is set by SIGTERM and SIGINT."""
+    stopped = asyncio.Event()
+    for signal_number in STOP_SIGNALS:
+        asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
+    return stopped
 
 
 async def _serve_datagrams(
     proxy: DatagramProxy, members: Mapping[str, tuple[Address, Address]]
 ) -> None:
-    """Runs until a signal ends it."""
-    ended = _ended_by_signal()
+    """Runs the datagram proxy until a signal stops it."""
+    stopped = _stop_on_signal()
     try:
-        for name, (front, real) in members.items():
-            with listening(f"--member {name}", front):
-                host, port = await proxy.add(name, real, front)
+        for name, (proxy_address, process_address) in members.items():
+            with listening(f"--member {name}", proxy_address):
+                host, port = await proxy.add(name, process_address, proxy_address)
             click.echo(f"fault: {name} is reached at {host}:{port}", err=True)
         proxy.start()
-        await ended.wait()
+        await stopped.wait()
     finally:
         proxy.close()
     click.echo(
-        f"fault: {proxy.forwarded} passed on, {proxy.lost} lost, {proxy.unknown_senders} strays",
+        f"fault: {proxy.forwarded} forwarded, {proxy.lost} lost,"
+        f" {proxy.unknown_senders} from unknown senders",
         err=True,
     )
 
 
 async def _serve_connections(
-    proxy: FaultProxy, listen: Address, control_at: Path | Address | None
+    proxy: FaultProxy, listen: Address, control_address: Path | Address | None
 ) -> None:
-    """Runs until a signal ends it."""
-    ended = _ended_by_signal()
+    """Runs the connection proxy, and its control socket if it has one, until a signal stops it."""
+    stopped = _stop_on_signal()
     control = ControlServer(proxy)
     with listening("--listen", listen):
         host, port = await proxy.start(listen)
     try:
-        if control_at is not None:
-            place = str(control_at) if isinstance(control_at, Path) else control_at
-            with listening("--control", place):
-                await control.start(control_at)
+        if control_address is not None:
+            shown_address = (
+                str(control_address)
+                if isinstance(control_address, Path)
+                else control_address
+            )
+            with listening("--control", shown_address):
+                await control.start(control_address)
         target_host, target_port = proxy.target
         click.echo(
             f"fault: listening on {host}:{port}, to {target_host}:{target_port}",
             err=True,
         )
-        await ended.wait()
+        await stopped.wait()
     finally:
         control.close()
         await proxy.stop()
-        if isinstance(control_at, Path):
-            control_at.unlink(missing_ok=True)
+        if isinstance(control_address, Path):
+            control_address.unlink(missing_ok=True)
     click.echo(f"fault: {proxy.accepted} connections, {proxy.faults} faults", err=True)
--- a/loadbalancer/cli/lab/__init__.py
+++ b/loadbalancer/cli/lab/__init__.py
@@ -1,5 +1,5 @@
 """`loadbalancer lab`: experiments in virtual time and with real processes.
 
-`commands` joins the commands; a module each for those of virtual time, of real processes, the report and the
-measurement of overhead.
+`commands` defines the command group. The commands are in `virtual_time` (runs in virtual time), `live` (real
+processes), `report` and `overhead`; `options` and `runs` hold what they share.
 """
--- a/loadbalancer/cli/lab/commands.py
+++ b/loadbalancer/cli/lab/commands.py
@@ -12,7 +12,7 @@
 
 @click.group()
 def lab() -> None:
-    """Play scenarios: the real decisions against modelled or real servers."""
+    """Run scenarios: the real decisions against modelled or real servers."""
 
 
 for command in (run, compare, sweep, report, live, fleet, load, overhead):
--- a/loadbalancer/cli/lab/live.py
+++ b/loadbalancer/cli/lab/live.py
@@ -1,4 +1,4 @@
-"""Commands that play a scenario with real processes on loopback: `live`, `fleet` and `load`."""
+"""Commands that run a scenario with real processes on loopback: `live`, `fleet` and `load`."""
 
 from __future__ import annotations
 
@@ -18,10 +18,9 @@
 from loadbalancer.lab import results
 from loadbalancer.lab.experiments import Run, Task
 
-LIVE_MODULE = (
-    "live node"  # as result files name the module of a run with real processes
-)
-MAX_LATE_SEND_RATIO = 0.001  # of all sends; with more the load's machine was too busy
+LIVE_MODULE = "live node"  # decision module of runs with real processes in results
+# Fraction of sends that may be late. With more, the machine was too busy to send the load on time.
+MAX_LATE_SEND_RATIO = 0.001
 
 
 @click.command()
@@ -37,28 +36,28 @@
     output_folder: Path | None,
     as_json: bool,
 ) -> None:
-    """Play SCENARIO with real node processes, stand-in servers and clients on loopback sockets."""
+    """Run SCENARIO with real node processes, stand-in servers and clients on loopback sockets."""
     import uvloop
 
     from loadbalancer.lab.live.play import run_live
 
     prepared = prepare(scenario, changes, str(seed))
-    table, read = prepared.table, prepared.scenario
-    watch = LiveTable(read, not as_json)
+    table, loaded = prepared.table, prepared.scenario
+    live_table = LiveTable(loaded, not as_json)
     try:
-        with watch:
+        with live_table:
             tally, figures, verdicts, load_rows = uvloop.run(
-                run_live(read, table, str(scenario), changes, seed, watch.update)
+                run_live(loaded, table, str(scenario), changes, seed, live_table.update)
             )
     except LoadBalancerError as error:
         exit_with_error(error)
     rows = results.lines(tally, figures, verdicts, LIVE_MODULE, results.version())
     task = Task(table, str(scenario), seed, changes, LIVE_MODULE)
-    run = Run(task, rows, read.seconds, 0)
+    run = Run(task, rows, loaded.seconds, 0)
     write_results(output_folder, [run])
     if as_json:
         tables.print_json(
-            {"scenario": read.name, "module": LIVE_MODULE, "runs": [summary(run)]}
+            {"scenario": loaded.name, "module": LIVE_MODULE, "runs": [summary(run)]}
         )
     else:
         tables.print_runs([run], with_speed=False)
@@ -67,14 +66,18 @@
 
 
 def warn_of_late_sends(load_rows: dict[str, Any]) -> None:
-    """Says that the machine was too busy, if too many requests were sent late."""
+    """Prints a warning if too many requests were sent late for the figures to be trusted.
+
+    Args:
+        load_rows: Counts of the load generator.
+    """
     late_sends = load_rows["late_sends"]
     if late_sends <= MAX_LATE_SEND_RATIO * load_rows["counts"]["tries"]:
         return
     latest_ms = load_rows["latest_send"] / 1000
-    tables.out.print(
+    tables.console.print(
         f"{late_sends} sends were over 20 ms late, the latest {latest_ms:.0f} ms:"
-        " this machine is too busy to trust the figures"
+        " this machine was too busy for the figures to be reliable"
     )
 
 
@@ -84,19 +87,19 @@
 @SET
 @click.option("--nodes", is_flag=True, help="Start the node processes as well.")
 def fleet(scenario: Path, seed: int, changes: tuple[str, ...], nodes: bool) -> None:
-    """Run the stand-in servers of SCENARIO and their discovery until interrupted; injects no fault.
+    """Run the stand-in servers of SCENARIO and their discovery until interrupted, without faults.
 
-    Prints a line of JSON: each node's number, its configuration file and the address it listens on.
+    Prints a line of JSON for each node, with its number, its configuration file and its address.
     """
     import uvloop
 
     from loadbalancer.lab.live.play import stand
 
-    read = prepare(scenario, changes, str(seed)).scenario
+    loaded = prepare(scenario, changes, str(seed)).scenario
     try:
         uvloop.run(
             stand(
-                read,
+                loaded,
                 str(scenario),
                 seed,
                 nodes,
@@ -122,7 +125,7 @@
     targets: tuple[str, ...],
     as_json: bool,
 ) -> None:
-    """Send the requests of SCENARIO to nodes that run, at their own times (open loop)."""
+    """Send the requests of SCENARIO to running nodes, at the scheduled times (open loop)."""
     import uvloop
 
     from loadbalancer.lab.live.__main__ import target
@@ -130,18 +133,18 @@
     from loadbalancer.lab.live.play import alone
     from loadbalancer.lab.world import build_world
 
-    read = prepare(scenario, changes, str(seed)).scenario
+    loaded = prepare(scenario, changes, str(seed)).scenario
     try:
-        clients = Load(build_world(read, seed), [target(text) for text in targets])
+        clients = Load(build_world(loaded, seed), [target(text) for text in targets])
     except LoadBalancerError as error:
         exit_with_error(error)
     uvloop.run(clients.play())
     figures = alone(clients)
-    # Clients do not see how much of the asked priority weight the service as a whole has served.
+    # Clients do not know what share of the requested priority weight the entire service has served.
     values = {
         name: figures.value(name) for name in tables.HEADLINES if name != "service"
     }
     if as_json:
         tables.print_json(values | {"rules": clients.ledger.counts})
     else:
-        tables.print_figures(f"{read.name}, as its clients saw it", values)
+        tables.print_figures(f"{loaded.name}, as seen by its clients", values)
--- a/loadbalancer/cli/lab/options.py
+++ b/loadbalancer/cli/lab/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands of `loadbalancer lab` have in common."""
+"""Options that several commands of `loadbalancer lab` share."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     "changes",
     multiple=True,
     metavar="KEY=VALUE",
-    help="Change the scenario: load.rps=500.",
+    help="Change a value of the scenario, such as load.rps=500. Repeatable.",
 )
 SEEDS = click.option(
     "--seed",
@@ -19,20 +19,20 @@
     "seeds",
     default="1",
     show_default=True,
-    help="3, 1-10 or 1,4,7-9.",
+    help="Seeds to run: 3, 1-10 or 1,4,7-9.",
 )
 WORKERS = click.option(
     "--workers",
     type=click.IntRange(1, 64),
     default=1,
     show_default=True,
-    help="Processes.",
+    help="Number of processes.",
 )
 MODULE = click.option(
     "--module",
     default="loadbalancer",
     show_default=True,
-    help="Decision module to play.",
+    help="Decision module to run.",
 )
 SCENARIO = click.argument("scenario", type=click.Path(path_type=Path))
 SEED = click.option("--seed", type=int, default=1, show_default=True)
@@ -40,8 +40,6 @@
     "--out",
     "output_folder",
     type=click.Path(path_type=Path, file_okay=False),
-    help="Folder for results.jsonl.",
-)
-JSON = click.option(
-    "--json", "as_json", is_flag=True, help="Print a summary for machines."
+    help="Directory for results.jsonl.",
 )
+JSON = click.option("--json", "as_json", is_flag=True, help="Print a summary as JSON.")
--- a/loadbalancer/cli/lab/overhead.py
+++ b/loadbalancer/cli/lab/overhead.py
@@ -1,4 +1,4 @@
-"""`loadbalancer lab overhead`: what a node costs beside a bare relay."""
+"""`loadbalancer lab overhead`: compares the throughput of a node with that of a bare relay."""
 
 from __future__ import annotations
 
@@ -15,32 +15,34 @@
     type=click.IntRange(1, 100),
     default=5,
     show_default=True,
-    help="Pairs of turns.",
+    help="Pairs of measurements: one of the node, one of the relay.",
 )
 @click.option(
     "--seconds",
     type=click.FloatRange(0.2, 60),
     default=3.0,
     show_default=True,
-    help="Of each turn.",
+    help="Duration of each measurement.",
 )
 @click.option(
     "--connections", type=click.IntRange(1, 500), default=32, show_default=True
 )
-@click.option("--json", "as_json", is_flag=True, help="Print the figures for machines.")
+@click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON.")
 def overhead(rounds: int, seconds: float, connections: int, as_json: bool) -> None:
-    """Measure a node's requests a second on one core against a bare relay's, by turns."""
+    """Compare the requests per second of a node and of a bare relay, each on one core, in turn."""
     with tables.progress_bar() as bar:
-        task = bar.add_task("overhead", total=rounds)
+        progress_task = bar.add_task("overhead", total=rounds)
         try:
-            found = measure(rounds, seconds, connections, lambda *_: bar.advance(task))
+            measured = measure(
+                rounds, seconds, connections, lambda *_: bar.advance(progress_task)
+            )
         except MeasureError as error:
             exit_with_error(error.within("overhead"))
         except OSError as error:
             exit_with_error(MeasureError(error.strerror or str(error), "overhead"))
-    summary = found.summary()
+    summary = measured.summary()
     if as_json:
-        tables.print_json(summary | {"ratios": found.ratios})
+        tables.print_json(summary | {"ratios": measured.ratios})
     else:
         tables.print_figures(
             f"{rounds} pairs of {seconds:g} s, {connections} connections, one core each",
--- a/loadbalancer/cli/lab/report.py
+++ b/loadbalancer/cli/lab/report.py
@@ -1,4 +1,4 @@
-"""`loadbalancer lab report`: results drawn as one page."""
+"""`loadbalancer lab report`: renders results as one HTML page."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     "--out",
     "output_file",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="The file; FOLDER/report.html if not given.",
+    help="File to write; default: FOLDER/report.html.",
 )
 def report(folder: Path, output_file: Path | None) -> None:
-    """Draw the results in FOLDER as one HTML file."""
+    """Render the results in FOLDER as one HTML file."""
     from loadbalancer.lab.report import page
 
     target = output_file or folder / "report.html"
--- a/loadbalancer/cli/lab/runs.py
+++ b/loadbalancer/cli/lab/runs.py
@@ -1,4 +1,4 @@
-"""What all commands that play a scenario share: reading it, playing tasks, writing their results."""
+"""Functions shared by commands that run a scenario: read it, run tasks, and write the results."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from loadbalancer.lab.scenario_file import build, read_table
 
 DEFAULT_MODULE = "loadbalancer"
-TIMING_FILE = "timing.json"
+TIMING_FILE = "timing.json"  # durations of runs, beside the results
 
 
 @dataclass(frozen=True)
 class PreparedScenario:
-    """A scenario that has been read and checked, before anything is played.
+    """A scenario that has been read and checked, but not run yet.
 
     Attributes:
-        path: The scenario's file as the user named it.
-        table: The file's tables, without the changes.
-        scenario: The scenario with the changes made.
-        seeds: Seeds to play.
-        changes: `KEY=VALUE` changes of the scenario.
-        module: Name of the decision module to play.
+        path: The scenario's file as given by the user.
+        table: The decoded file, without the changes.
+        scenario: The scenario with the changes applied.
+        seeds: Seeds to run.
+        changes: Changes of the scenario, as `KEY=VALUE`.
+        module: Name of the decision module to run.
     """
 
     path: Path
@@ -41,7 +41,12 @@
     module: str
 
     def task(self, seed: int, root: str | None = None) -> Task:
-        """The task that plays this scenario at one seed, in another checkout if `root` is given."""
+        """Returns the task that runs this scenario with a seed.
+
+        Args:
+            seed: The seed.
+            root: Another checkout whose program runs the task; None for this one.
+        """
         return Task(self.table, str(self.path), seed, self.changes, self.module, root)
 
 
@@ -51,39 +56,63 @@
     seeds: str,
     module: str = DEFAULT_MODULE,
 ) -> PreparedScenario:
-    """Reads a scenario and checks its changes, seeds and module; ends the command if one of them is wrong."""
+    """Reads a scenario and checks its changes, seeds and module; ends the command if one is invalid.
+
+    Args:
+        path: The scenario's file.
+        changes: Changes of the scenario, as `KEY=VALUE`.
+        seeds: Seeds as on the command line, such as `1-10`.
+        module: Name of the decision module to run.
+    """
     try:
         table = read_table(path)
         scenario = build(table, str(path), changes)
-        numbers = read_seeds(seeds)
+        seed_numbers = read_seeds(seeds)
         find(module)
     except LoadBalancerError as error:
         exit_with_error(error)
-    return PreparedScenario(path, table, scenario, numbers, changes, module)
+    return PreparedScenario(path, table, scenario, seed_numbers, changes, module)
 
 
 def play(tasks: list[Task], workers: int, description: str) -> list[Run]:
-    """Plays tasks behind a progress bar, by seconds of the scenario where there is one task alone."""
+    """Runs tasks and shows a progress bar; ends the command if a run fails.
+
+    The progress of a single task is shown in seconds of the scenario, otherwise in completed tasks.
+
+    Args:
+        tasks: The tasks.
+        workers: Number of processes that run them.
+        description: Text beside the progress bar.
+    """
     with tables.progress_bar() as bar:
-        single = workers == 1 and len(tasks) == 1
-        line = bar.add_task(description, total=None if single else len(tasks))
+        is_single = workers == 1 and len(tasks) == 1
+        progress_task = bar.add_task(
+            description, total=None if is_single else len(tasks)
+        )
 
-        def show_seconds(at: float, of: float) -> None:
-            bar.update(line, completed=int(at), total=int(of))
+        def show_seconds(elapsed_s: float, total_s: float) -> None:
+            bar.update(progress_task, completed=int(elapsed_s), total=int(total_s))
 
         try:
             return make(
                 tasks,
                 workers,
-                lambda _: bar.advance(line, 0 if single else 1),
-                show_seconds if single else None,
+                lambda _: bar.advance(progress_task, 0 if is_single else 1),
+                show_seconds if is_single else None,
             )
         except LoadBalancerError as error:
             exit_with_error(error)
 
 
 def write_results(folder: Path | None, runs: list[Run]) -> None:
-    """Writes the rows, and beside them the times, which are not the same in every run."""
+    """Writes the rows of runs, and their durations to a separate file, as these differ between runs.
+
+    Ends the command if a file cannot be written.
+
+    Args:
+        folder: The directory; None to write nothing.
+        runs: The runs.
+    """
     if folder is None:
         return
     try:
@@ -101,7 +130,7 @@
 
 
 def summary(run: Run) -> dict[str, Any]:
-    """A run as `--json` prints it."""
+    """Returns a run as `--json` prints it."""
     counts = {k: v for k, v in run.rules.items() if k not in ("type", "notes")}
     return {
         "seed": run.task.seed,
@@ -117,7 +146,14 @@
 
 
 def print_runs(name: str, module: str, runs: list[Run], as_json: bool) -> None:
-    """Prints the runs of one scenario, for machines or as tables."""
+    """Prints the runs of one scenario, as JSON or as tables.
+
+    Args:
+        name: Name of the scenario.
+        module: Name of the decision module that ran it.
+        runs: The runs.
+        as_json: Whether to print JSON.
+    """
     if as_json:
         document = {
             "scenario": name,
--- a/loadbalancer/cli/lab/virtual_time.py
+++ b/loadbalancer/cli/lab/virtual_time.py
@@ -1,4 +1,4 @@
-"""Commands that play a scenario in virtual time: `run`, `compare` and `sweep`."""
+"""Commands that run a scenario in virtual time: `run`, `compare` and `sweep`."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     output_folder: Path | None,
     as_json: bool,
 ) -> None:
-    """Play SCENARIO in virtual time and hold it against its claims."""
+    """Run SCENARIO in virtual time and check its claims."""
     prepared = prepare(scenario, changes, seeds, module)
     name = prepared.scenario.name
     runs = play([prepared.task(seed) for seed in prepared.seeds], workers, name)
@@ -64,28 +64,28 @@
 @click.option("--seeds", default="1-10", show_default=True)
 @WORKERS
 @click.option(
-    "--a", "a_root", help="Checkout or revision of side a; this one if not given."
+    "--a", "a_root", help="Checkout or revision of side a; default: this one."
+)
+@click.option(
+    "--b", "b_root", help="Checkout or revision of side b; default: this one."
 )
-@click.option("--b", "b_root", help="The same of side b.")
 @click.option(
     "--set-a",
     "a_changes",
     multiple=True,
     metavar="KEY=VALUE",
-    help="Change the scenario of side a.",
+    help="Change a value of the scenario of side a. Repeatable.",
 )
 @click.option("--set-b", "b_changes", multiple=True, metavar="KEY=VALUE")
 @click.option("--module-a", default=DEFAULT_MODULE, show_default=True)
 @click.option("--module-b", default=DEFAULT_MODULE, show_default=True)
 @SET
-@click.option(
-    "--json", "as_json", is_flag=True, help="Print the differences for machines."
-)
+@click.option("--json", "as_json", is_flag=True, help="Print the differences as JSON.")
 @click.option(
     "--out",
     "output_folder",
     type=click.Path(path_type=Path, file_okay=False),
-    help="Folder for the rows of both sides.",
+    help="Directory for the rows of both sides.",
 )
 def compare(
     scenario: Path,
@@ -101,17 +101,19 @@
     as_json: bool,
     output_folder: Path | None,
 ) -> None:
-    """Play SCENARIO twice under equal seeds and tell which differences are more than noise."""
+    """Run SCENARIO on two sides with the same seeds and report which differences are more than noise."""
     side_a = prepare(scenario, changes + a_changes, seeds, module_a)
     side_b = prepare(scenario, changes + b_changes, seeds, module_b)
-    first, second = play_pairs(side_a, a_root, side_b, b_root, workers)
+    runs_a, runs_b = play_pairs(side_a, a_root, side_b, b_root, workers)
     if output_folder is not None:
-        write_results(output_folder / "a", first)
-        write_results(output_folder / "b", second)
-    rows = differences(first, second)
+        write_results(output_folder / "a", runs_a)
+        write_results(output_folder / "b", runs_b)
+    rows = differences(runs_a, runs_b)
     if as_json:
         fields = ("name", "a", "b", "mean", "low", "high", "pairs", "verdict")
-        tables.print_json([{f: getattr(row, f) for f in fields} for row in rows])
+        tables.print_json(
+            [{field: getattr(row, field) for field in fields} for row in rows]
+        )
     else:
         tables.print_comparison(
             rows, side_name(side_a, a_root), side_name(side_b, b_root)
@@ -125,7 +127,18 @@
     b_root: str | None,
     workers: int,
 ) -> tuple[list[Run], list[Run]]:
-    """Plays both sides by turns, seed by seed, each in its checkout."""
+    """Runs both sides alternately, seed by seed, each in its checkout; ends the command if a run fails.
+
+    Args:
+        side_a: Scenario of side a.
+        a_root: Checkout or revision of side a; None for this one.
+        side_b: Scenario of side b.
+        b_root: Checkout or revision of side b; None for this one.
+        workers: Number of processes.
+
+    Returns:
+        The runs of side a and those of side b, in the order of the seeds.
+    """
     try:
         with checkout(a_root) as a, checkout(b_root) as b:
             tasks = [
@@ -140,7 +153,7 @@
 
 
 def side_name(side: PreparedScenario, root: str | None) -> str:
-    """A side of a comparison as the table's head names it."""
+    """Returns the name of a side in the title of a comparison."""
     module = [side.module] if side.module != DEFAULT_MODULE else []
     return " ".join([root or "here", *module, *side.changes])
 
@@ -151,11 +164,13 @@
     "--over",
     required=True,
     metavar="KEY=VALUES",
-    help="load.of_capacity=0.5:1.5:0.25 or =1,2,4",
+    help="Parameter and its values: load.of_capacity=0.5:1.5:0.25 or =1,2,4.",
 )
 @click.option("--seeds", default="1-3", show_default=True)
 @click.option(
-    "--workers", type=click.IntRange(1, 64), help="Processes; all cores if not given."
+    "--workers",
+    type=click.IntRange(1, 64),
+    help="Number of processes; default: one for each core.",
 )
 @MODULE
 @SET
@@ -171,7 +186,7 @@
     output_folder: Path | None,
     as_json: bool,
 ) -> None:
-    """Play SCENARIO with each of a parameter's values."""
+    """Run SCENARIO with each value of a parameter."""
     key, values = read_parameter(over)
     prepared = [
         prepare(scenario, (*changes, f"{key}={value}"), seeds, module)
@@ -187,18 +202,21 @@
     ]
     if as_json:
         tables.print_json(
-            [{"value": v, "runs": [summary(run) for run in made]} for v, made in rows]
+            [
+                {"value": v, "runs": [summary(run) for run in value_runs]}
+                for v, value_runs in rows
+            ]
         )
     else:
         tables.print_sweep(key, rows)
 
 
 def read_parameter(over: str) -> tuple[str, list[str]]:
-    """The key and the values of `--over`; ends the command if they cannot be read."""
+    """Returns the key and the values of `--over`; ends the command if they are invalid."""
     key, equals, values_text = over.partition("=")
     try:
         if not equals:
-            raise OptionError("write it as KEY=VALUES", f"--over {over!r}")
+            raise OptionError("must be KEY=VALUES", f"--over {over!r}")
         return key, read_values(values_text)
     except LoadBalancerError as error:
         exit_with_error(error)
--- a/loadbalancer/cli/main.py
+++ b/loadbalancer/cli/main.py
@@ -1,6 +1,6 @@
-"""`loadbalancer`: the node, the check of its files, and the commands of lab, swarm and fault tool.
+"""`loadbalancer`: runs a node, checks its files, and has the commands of the lab, swarm and fault tool.
 
-Exit status: `cli/exit.py`.
+`cli/exit.py` defines the exit status of the commands.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from loadbalancer.cli.lab.commands import lab
 from loadbalancer.cli.swarm import swarm
 
-# Tables of the operators' file that `check` names when they are there
+# Tables of the operators' file that `check` lists when they are present.
 CHECKED_TABLES = ("zones", "storms", "membership", "spread")
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="loadbalancer")
 def cli() -> None:
-    """A load-balancing node for services that call services, and its lab.
+    """A load-balancing node for calls between services, and its lab.
 
-    Without a command it is the node, as LB_CONFIG says.
+    Without a command it runs a node, configured by LB_CONFIG.
     """
 
 
@@ -33,7 +33,7 @@
 @click.option(
     "--operator",
     type=click.Path(dir_okay=False),
-    help="The operators' file, in place of LB_OPERATOR.",
+    help="Operators' file; replaces LB_OPERATOR.",
 )
 def node(operator: str | None) -> None:
     """Run one node, configured by LB_CONFIG and the other LB_ variables."""
@@ -49,10 +49,10 @@
 @click.option(
     "--operator",
     type=click.Path(dir_okay=False),
-    help="The operators' file, as LB_OPERATOR names it.",
+    help="Operators' file to check, as named by LB_OPERATOR.",
 )
 def check(config: str | None, operator: str | None) -> None:
-    """Read a node's configuration file, or the operators' file, and say what is wrong with it."""
+    """Check a node's configuration file, or the operators' file, and report the first error."""
     if operator is not None:
         check_operator_config(operator)
     if config is not None:
@@ -62,32 +62,44 @@
 
 
 def check_operator_config(path: str) -> None:
-    """Reads the operators' file and prints what it switches on; ends the command if it cannot be used."""
+    """Checks the operators' file and prints the features that it enables.
+
+    Ends the command if the file is invalid.
+
+    Args:
+        path: Path of the file.
+    """
     from loadbalancer.config import operator_config
 
     try:
-        read = operator_config.load(path)
+        config = operator_config.load(path)
     except operator_config.OperatorConfigError as error:
         click.echo(error.line(), err=True)
         sys.exit(ExitStatus.UNUSABLE)
-    enabled = [name for name in CHECKED_TABLES if getattr(read, name) is not None]
-    click.echo(f"{path}: good. It switches on: {', '.join(enabled) or 'nothing'}.")
+    enabled = [name for name in CHECKED_TABLES if getattr(config, name) is not None]
+    click.echo(f"{path}: valid. It enables: {', '.join(enabled) or 'nothing'}.")
 
 
 def check_config(path: str) -> None:
-    """Reads a node's configuration and prints what it says; ends the command if it cannot be used."""
+    """Checks a node's configuration and prints a summary of it.
+
+    Ends the command if the configuration is invalid.
+
+    Args:
+        path: Path of the file.
+    """
     from loadbalancer.node.config import ConfigError, load
 
     try:
-        read = load({"LB_CONFIG": path})
+        config = load({"LB_CONFIG": path})
     except ConfigError as error:
         click.echo(error.line().removeprefix("LB_CONFIG: "), err=True)
         sys.exit(ExitStatus.UNUSABLE)
-    host, port = read.listen
-    server_count = len(read.known.lines) if read.known else 0
+    host, port = config.listen
+    server_count = len(config.known.lines) if config.known else 0
     click.echo(
-        f"{path}: good. Node {read.name} listens on {host}:{port}, has"
-        f" {len(read.classes)} classes and knows {server_count} servers."
+        f"{path}: valid. Node {config.name} listens on {host}:{port}, has"
+        f" {len(config.classes)} classes and knows {server_count} servers."
     )
 
 
--- a/loadbalancer/cli/swarm.py
+++ b/loadbalancer/cli/swarm.py
@@ -1,4 +1,4 @@
-"""`loadbalancer swarm`: many real nodes on loopback with faults between them."""
+"""`loadbalancer swarm`: runs many real nodes on loopback and injects faults between them."""
 
 from __future__ import annotations
 
@@ -30,28 +30,32 @@
 
 @swarm.command()
 @click.argument("script", type=click.Path(path_type=Path))
-@click.option("--seed", type=click.IntRange(0), help="In place of the script's own.")
-@click.option("--nodes", type=click.IntRange(1), help="In place of the script's own.")
+@click.option("--seed", type=click.IntRange(0), help="Replaces the seed of the script.")
+@click.option(
+    "--nodes",
+    type=click.IntRange(1),
+    help="Replaces the number of nodes of the script.",
+)
 @click.option(
     "--hollow",
     type=click.IntRange(1),
-    help="Hollow nodes, in place of the script's own count.",
+    help="Replaces the number of hollow nodes of the script.",
 )
 @click.option(
     "--json",
     "out",
     type=click.Path(path_type=Path),
-    help="All figures and faults as JSON.",
+    help="File to write all figures and faults to, as JSON.",
 )
 @click.option(
     "--slopes",
     type=click.Path(path_type=Path),
-    help="A file benchmarks/slopes/NAME.json, to which the costs of this run are added as a point.",
+    help="File benchmarks/slopes/NAME.json to which the costs of this run are added as a point.",
 )
 @click.option(
     "--logs",
     type=click.Path(path_type=Path),
-    help="A folder that keeps the nodes' logs.",
+    help="Directory that keeps the nodes' logs.",
 )
 def run(
     script: Path,
@@ -62,48 +66,69 @@
     slopes: Path | None,
     logs: Path | None,
 ) -> None:
-    """Play a script of faults against real nodes.
+    """Run a fault script against real nodes.
 
-    Status 0 if all that it expects holds, 1 if not or if the run is void, 2 if it cannot be played.
+    Exit status: 0 if all expectations hold, 1 if not or if the run is void, 2 if the script cannot be run.
     """
-    changes = {k: v for k, v in (("seed", seed), ("nodes", nodes)) if v is not None}
+    changes = {
+        key: value
+        for key, value in (("seed", seed), ("nodes", nodes))
+        if value is not None
+    }
     try:
-        found = load(script, changes, {"count": hollow} if hollow is not None else None)
+        swarm_script = load(
+            script, changes, {"count": hollow} if hollow is not None else None
+        )
         if slopes is not None and slopes.exists():
-            # A file that no point can be added to is reported before minutes are played.
+            # Reports an invalid file before the run, which takes minutes.
             load_slopes(slopes)
     except LoadBalancerError as error:
         exit_with_error(error)
-    result = play_script(script, found, logs)
+    result = play_script(script, swarm_script, logs)
     print_result(result)
     if slopes is not None:
-        append_point(script, found, result, slopes)
+        append_point(script, swarm_script, result, slopes)
     if out is not None:
         write_result(result, out)
     sys.exit(ExitStatus.OK if result.good else ExitStatus.FAILED)
 
 
-def play_script(script: Path, found: Swarm, logs: Path | None) -> Result:
-    """Plays a script that has been read, with its logs in a folder of the user's or one that is removed."""
+def play_script(script: Path, swarm_script: Swarm, logs: Path | None) -> Result:
+    """Runs a swarm; ends the command if that fails.
+
+    Args:
+        script: File of the script, for errors.
+        swarm_script: The swarm that the script describes.
+        logs: Directory that keeps the nodes' logs; None for a temporary one that is removed.
+    """
     try:
         if logs is not None:
             make_folder(logs)
-            return play_in(found, logs)
+            return play_with_progress(swarm_script, logs)
         with tempfile.TemporaryDirectory(prefix="swarm-") as folder:
-            return play_in(found, Path(folder))
+            return play_with_progress(swarm_script, Path(folder))
     except LoadBalancerError as error:
         exit_with_error(error.within(str(script)))
-    except OSError as error:  # TimeoutError is one
+    except OSError as error:  # includes TimeoutError
         reason = error.strerror or str(error) or type(error).__name__
         exit_with_error(SwarmError(reason, str(script)))
 
 
-def append_point(script: Path, found: Swarm, result: Result, slopes: Path) -> None:
-    """Adds the costs of a run to a slopes file."""
-    what = f"{script}: {found.world.nodes} real nodes and hollow ones, real time on loopback"
+def append_point(
+    script: Path, swarm_script: Swarm, result: Result, slopes: Path
+) -> None:
+    """Adds the costs of a run to a slopes file as a point; ends the command if that fails.
+
+    Args:
+        script: File of the script that was run.
+        swarm_script: The swarm that the script describes.
+        result: Result of the run.
+        slopes: The slopes file.
+    """
+    description = f"{script}: {swarm_script.world.nodes} real nodes and hollow ones, real time on loopback"
     command = f"loadbalancer swarm run {script} --hollow N --seed S --slopes {slopes}"
     try:
-        append(result, what, command, slopes)
+        append(result, description, command, slopes)
     except LoadBalancerError as error:
         exit_with_error(error)
     except (OSError, msgspec.ValidationError) as error:
@@ -111,7 +136,7 @@
 
 
 def write_result(result: Result, path: Path) -> None:
-    """Writes all figures and faults as JSON."""
+    """Writes all figures and faults as JSON; ends the command if the file cannot be written."""
     try:
         path.write_text(json.dumps(msgspec.to_builtins(result), indent=1) + "\n")
     except OSError as error:
@@ -120,16 +145,16 @@
 
 @swarm.command()
 def figures() -> None:
-    """What each figure means."""
+    """List the figures and what each means."""
     for name, meaning in FIGURES.items():
         click.echo(f"{name:27} {meaning}")
 
 
 def make_folder(folder: Path) -> None:
-    """Makes a folder.
+    """Creates a directory, and its parents, if it does not exist.
 
     Raises:
-        NotWritableError: It cannot be made.
+        NotWritableError: The directory cannot be created.
     """
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -137,34 +162,41 @@
         raise NotWritableError(error.strerror or str(error), str(folder)) from None
 
 
-def play_in(found: Swarm, folder: Path) -> Result:
-    """Plays a swarm behind a progress bar.
+def play_with_progress(swarm_script: Swarm, folder: Path) -> Result:
+    """Runs a swarm and shows a progress bar.
+
+    Args:
+        swarm_script: The swarm.
+        folder: Directory for the nodes' logs.
 
     Raises:
-        SwarmEnded: A signal ended it.
+        SwarmEnded: A signal stopped the run.
     """
     with tables.progress_bar() as bar:
-        line = bar.add_task("starting", total=1)
+        progress_task = bar.add_task("starting", total=1)
 
-        def show_progress(stage: str, at: float, of: float) -> None:
+        def show_progress(stage: str, elapsed_s: float, total_s: float) -> None:
             bar.update(
-                line, description=stage, completed=int(at), total=max(1, int(of))
+                progress_task,
+                description=stage,
+                completed=int(elapsed_s),
+                total=max(1, int(total_s)),
             )
 
         async def play_until_signal() -> Result:
-            # A harness that is ended by SIGTERM must not leave its nodes behind.
-            task = asyncio.ensure_future(play(found, folder, show_progress))
+            # On SIGTERM the nodes must be stopped too, not left behind.
+            task = asyncio.ensure_future(play(swarm_script, folder, show_progress))
             asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
             return await task
 
         try:
             return asyncio.run(play_until_signal())
         except asyncio.CancelledError:
-            raise SwarmEnded("ended by a signal; so were all its processes") from None
+            raise SwarmEnded("stopped by a signal, with all its processes") from None
 
 
 def print_result(result: Result) -> None:
-    """Prints the figures that were had, then what was expected of them."""
+    """Prints the figures that were measured, then whether the expectations hold."""
     hollow = f" and {result.hollow} hollow ones" if result.hollow else ""
     title = (
         f"{result.name or 'swarm'}: {result.nodes} nodes{hollow}, seed {result.seed}"
@@ -173,21 +205,23 @@
     for name in FIGURES:
         if result.figures.get(name) is not None:
             table.add_row(name, tables.format_number(result.figures[name]))
-    tables.out.print(table)
+    tables.console.print(table)
     if result.void:
-        tables.out.print(f"VOID: {result.void}; no figure of this run counts")
+        tables.console.print(
+            f"VOID: {result.void}; the figures of this run are not valid"
+        )
     for expect, holds in result.claims:
         print_expectation(expect, holds, result.figures.get(expect.figure))
 
 
 def print_expectation(expect: Expect, holds: bool, value: float | None) -> None:
-    """Prints one expectation beside the figure that it is about."""
+    """Prints whether an expectation holds, with the figure's value and the expected bounds."""
     bounds = []
     if expect.at_most is not None:
         bounds.append(f"at most {expect.at_most:g}")
     if expect.at_least is not None:
         bounds.append(f"at least {expect.at_least:g}")
     verdict = "holds" if holds else "FAILS"
-    tables.out.print(
-        f"{verdict}: {expect.figure} {tables.format_number(value)}, wanted {' and '.join(bounds)}"
+    tables.console.print(
+        f"{verdict}: {expect.figure} {tables.format_number(value)}, expected {' and '.join(bounds)}"
     )
--- a/loadbalancer/cli/tables.py
+++ b/loadbalancer/cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables of figures and progress bars on a terminal."""
+"""Prints tables of figures and shows progress bars on a terminal."""
 
 from __future__ import annotations
 
@@ -22,8 +22,9 @@
 from loadbalancer.lab.experiments import Run
 from loadbalancer.lab.stats import Difference
 
-out = Console(highlight=False)
-err = Console(stderr=True, highlight=False)
+console = Console(highlight=False)
+error_console = Console(stderr=True, highlight=False)
+# Figures of a run that tables show, in this order.
 HEADLINES = (
     "service",
     "in_time",
@@ -36,28 +37,36 @@
     "p99_ms",
     "tries",
 )
-MAX_SEED_COLUMNS = 6  # with more seeds their mean, least and most are shown
-DECIMALS = ((1000, 0), (10, 1))  # of figures of at least so much
-MAX_NOTES = 5  # of broken rules, for each run
+MAX_SEED_COLUMNS = 6  # with more seeds, mean, minimum and maximum are shown
+# Decimal places by the absolute value from which they apply; smaller values have 4.
+DECIMALS = ((1000, 0), (10, 1))
+MAX_NOTES = 5  # notes on broken rules printed for each run
+# Rules whose violations are counted in every run.
 RULE_NAMES = ("lost", "duplicate", "drain", "pushed_over", "illegal", "crash")
 
 
 def progress_bar() -> Progress:
-    """A progress bar on standard error; silent where that is no terminal."""
+    """Creates a progress bar on standard error; it is not shown if that is no terminal."""
     return Progress(
         TextColumn("{task.description}"),
         BarColumn(),
         MofNCompleteColumn(),
         TimeElapsedColumn(),
         TimeRemainingColumn(),
-        console=err,
+        console=error_console,
         transient=True,
-        disable=not err.is_terminal,
+        disable=not error_console.is_terminal,
     )
 
 
 def plain_table(title: str, first: str, *others: str) -> Table:
-    """A table of figures: a column of names, and columns of numbers that are not broken."""
+    """Creates a table with a column of names and columns of numbers, none of which is wrapped.
+
+    Args:
+        title: Title of the table.
+        first: Header of the column of names.
+        *others: Headers of the columns of numbers.
+    """
     table = Table(title=title, title_justify="left", box=SIMPLE_HEAD, pad_edge=False)
     table.add_column(first, no_wrap=True)
     for name in others:
@@ -66,7 +75,7 @@
 
 
 def format_number(value: Any) -> str:
-    """A figure as a person reads it."""
+    """Formats a figure for people: fewer decimals for larger values, `never` for None."""
     if value is None:
         return "never"
     if not isinstance(value, float):
@@ -78,27 +87,32 @@
 
 
 def print_json(document: Any) -> None:
-    """Prints a document for machines, on one line."""
+    """Prints a document as JSON on one line."""
     click.echo(json.dumps(document))
 
 
 def print_runs(runs: Iterable[Run], with_speed: bool = True) -> None:
-    """Prints a column for each run, then the claims that fail or that are known gaps."""
+    """Prints a table of runs of one scenario, then failed claims, known gaps and broken rules.
+
+    Args:
+        runs: The runs, which differ in their seeds.
+        with_speed: Whether to show the events simulated per second of real time.
+    """
     runs = list(runs)
     first = runs[0].rows[0]
     title = f"{first['scenario']}: {first['title']}"
     if len(runs) > MAX_SEED_COLUMNS:
-        out.print(_statistics_table(title, runs))
+        console.print(_statistics_table(title, runs))
     else:
-        out.print(_seeds_table(title, runs, with_speed))
+        console.print(_seeds_table(title, runs, with_speed))
     for run in runs:
         _print_claims(run)
         _print_broken_rules(run)
 
 
 def _statistics_table(title: str, runs: list[Run]) -> Table:
-    """Mean, least and most over many runs."""
-    table = plain_table(title, "seed", "mean", "least", "most")
+    """Returns a table with mean, minimum and maximum over many runs."""
+    table = plain_table(title, "seed", "mean", "minimum", "maximum")
     for name in HEADLINES:
         values = [float(run.summary[name]) for run in runs]
         statistics = (sum(values) / len(values), min(values), max(values))
@@ -109,7 +123,7 @@
 
 
 def _seeds_table(title: str, runs: list[Run], with_speed: bool) -> Table:
-    """One column for each of a few runs."""
+    """Returns a table with a column for each of a few runs."""
     table = plain_table(title, "seed", *(str(run.task.seed) for run in runs))
     for name in HEADLINES:
         table.add_row(name, *(format_number(float(run.summary[name])) for run in runs))
@@ -118,12 +132,12 @@
         for run in runs
     ]
     table.add_row("rules broken", *(text or "none" for text in broken))
-    held = [sum(claim["holds"] for claim in run.claims) for run in runs]
+    held_counts = [sum(claim["holds"] for claim in run.claims) for run in runs]
     table.add_row(
         "claims held",
         *(
             f"{count} of {len(run.claims)}"
-            for count, run in zip(held, runs, strict=True)
+            for count, run in zip(held_counts, runs, strict=True)
         ),
     )
     if with_speed:
@@ -133,7 +147,7 @@
 
 
 def _print_claims(run: Run) -> None:
-    """Prints claims that fail, and known gaps, also one that has closed."""
+    """Prints failed claims, known gaps, and claims that hold although they are marked as known gaps."""
     for claim in run.claims:
         subject = f"seed {run.task.seed}: claim {claim['metric']} {claim['op']} {claim['bound']:g}"
         value = format_number(claim["value"])
@@ -149,7 +163,7 @@
 
 
 def _print_broken_rules(run: Run) -> None:
-    """Prints the first notes on rules that were broken."""
+    """Prints the first `MAX_NOTES` notes on broken rules."""
     for note in run.rules["notes"][:MAX_NOTES]:
         at_s = note["us"] / 1e6
         _print_line(
@@ -158,29 +172,41 @@
 
 
 def _print_line(text: str) -> None:
-    out.print(text, soft_wrap=True, markup=False)
+    """Prints a line as it is, without wrapping."""
+    console.print(text, soft_wrap=True, markup=False)
 
 
 def print_comparison(rows: list[Difference], a: str, b: str) -> None:
-    """Prints paired differences, with what they show."""
+    """Prints paired differences between two sides, and whether each is more than noise.
+
+    Args:
+        rows: The differences, one for each figure.
+        a: Name of side a.
+        b: Name of side b.
+    """
     title = f"a: {a}   b: {b}   {rows[0].pairs} seeds, 95% bootstrap interval"
     table = plain_table(title, "figure", "a", "b", "b - a", "interval", "")
     for row in rows:
         interval = f"{row.low:+.4g} to {row.high:+.4g}"
-        shown = row.verdict != "no difference shown"
+        is_shown = row.verdict != "no difference shown"
         table.add_row(
             row.name,
             format_number(row.a),
             format_number(row.b),
             f"{row.mean:+.4g}",
             interval,
-            row.verdict if shown else "not shown",
+            row.verdict if is_shown else "not shown",
         )
-    out.print(table)
+    console.print(table)
 
 
 def print_sweep(key: str, rows: list[tuple[str, list[Run]]]) -> None:
-    """Prints the mean figures, one column for each value of a parameter."""
+    """Prints mean figures over the seeds, with a column for each value of a parameter.
+
+    Args:
+        key: Key of the parameter.
+        rows: Each value with its runs.
+    """
     table = plain_table(
         f"{key}, means over {len(rows[0][1])} seeds", key, *(value for value, _ in rows)
     )
@@ -188,18 +214,23 @@
         table.add_row(
             name,
             *(
-                format_number(sum(r.summary[name] for r in made) / len(made))
-                for _, made in rows
+                format_number(
+                    sum(r.summary[name] for r in value_runs) / len(value_runs)
+                )
+                for _, value_runs in rows
             ),
         )
-    broken = [sum(r.rules[n] for r in made for n in RULE_NAMES) for _, made in rows]
+    broken = [
+        sum(r.rules[n] for r in value_runs for n in RULE_NAMES)
+        for _, value_runs in rows
+    ]
     table.add_row("rules broken", *(str(n or "none") for n in broken))
-    out.print(table)
+    console.print(table)
 
 
 def print_figures(title: str, values: dict[str, float]) -> None:
-    """Prints names and figures."""
+    """Prints figures by name, one in each row."""
     table = plain_table(title, "figure", "")
     for name, value in values.items():
         table.add_row(name, format_number(value))
-    out.print(table)
+    console.print(table)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -822,7 +822,7 @@
     """
     from loadbalancer.cli import swarm as command
 
-    monkeypatch.setattr(command, "play_in", lambda *_: pytest.fail("played"))
+    monkeypatch.setattr(command, "play_with_progress", lambda *_: pytest.fail("played"))
     path = tmp_path / "rest.json"
     path.write_text("{")
     script = str(PACKAGES / "scenarios" / "swarm" / "scale.toml")
