--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -1,4 +1,4 @@
-"""The fault tool: what becomes of each byte, and each kind of fault as a real socket sees it."""
+"""The fault tool: what happens to each byte, and each kind of fault as seen on real sockets."""
 
 import asyncio
 import json
@@ -28,9 +28,10 @@
     return parse_script({"seed": seed, "rule": list(rules)}, "test")
 
 
-def fed(
+def feed_all(
     plan, pieces: list[bytes], direction="to_server"
 ) -> tuple[bytes, list[InjectedFault], bool]:
+    """What a script makes of these reads: the bytes sent, the faults, and whether the direction ended."""
     injector = StreamInjector(plan, 1, direction)
     steps = injector.start()
     for piece in pieces:
@@ -39,7 +40,8 @@
     return data, [s for s in steps if isinstance(s, InjectedFault)], injector.ended
 
 
-def cut_up(data: bytes, cuts: list[int]) -> list[bytes]:
+def split_at(data: bytes, cuts: list[int]) -> list[bytes]:
+    """The data in pieces, split at these offsets (modulo its length)."""
     marks = sorted({0, len(data), *(c % (len(data) + 1) for c in cuts)})
     return [data[a:b] for a, b in zip(marks, marks[1:], strict=False)]
 
@@ -71,37 +73,37 @@
     st.integers(0, 9),
     st.lists(st.integers(0, 200), max_size=9),
 )
-def test_faults_are_the_same_however_the_bytes_were_cut_on_their_way(rules, seed, cuts):
+def test_faults_do_not_depend_on_how_the_bytes_are_split_into_reads(rules, seed, cuts):
     plan = script(
         *rules,
         {"kind": "garble", "direction": "to_server", "header": "X-Call-Id"},
         seed=seed,
     )
-    whole = fed(plan, [HEAD])
-    assert fed(plan, cut_up(HEAD, cuts)) == whole
-    assert fed(plan, [bytes([b]) for b in HEAD]) == whole
+    expected = feed_all(plan, [HEAD])
+    assert feed_all(plan, split_at(HEAD, cuts)) == expected
+    assert feed_all(plan, [bytes([b]) for b in HEAD]) == expected
 
 
-def test_a_garble_corrupts_exactly_one_byte_inside_the_header_it_names():
+def test_a_corruption_changes_exactly_one_byte_of_the_named_header():
     rule = {"kind": "garble", "direction": "to_server", "header": "x-call-id"}
     for seed in range(20):
-        data, struck, _ = fed(script(rule, seed=seed), [HEAD])
-        (place,) = [
+        data, injected, _ = feed_all(script(rule, seed=seed), [HEAD])
+        (offset,) = [
             i for i, (a, b) in enumerate(zip(HEAD, data, strict=True)) if a != b
         ]
         assert (
-            place == HEAD.index(b"abc") == struck[0].offset
-        )  # not the note that only mentions it
-    twice = fed(script(rule | {"message": 2}), [HEAD, HEAD])
+            offset == HEAD.index(b"abc") == injected[0].offset
+        )  # not the header whose value only mentions the name
+    twice = feed_all(script(rule | {"message": 2}), [HEAD, HEAD])
     assert twice[1][0].offset == len(HEAD) + HEAD.index(b"abc")
-    masked, _, _ = fed(
+    masked, _, _ = feed_all(
         script({"kind": "garble", "direction": "to_server", "at": 3, "mask": 32}),
         [HEAD],
     )
     assert masked[:5] == b"GET\x00/"
 
 
-def test_rules_strike_the_connections_they_name_and_shares_come_from_the_seed():
+def test_rules_affect_the_connections_they_name_and_shares_follow_from_the_seed():
     rule = {
         "kind": "cut",
         "direction": "to_server",
@@ -134,7 +136,7 @@
 
 
 @pytest.mark.parametrize(
-    ("table", "words"),
+    ("table", "message"),
     [
         ({"rules": []}, "rules: unknown key; did you mean rule?"),
         ({"rule": [{"kind": "delays"}]}, "rule[0].kind: 'delays'; did you mean delay?"),
@@ -164,17 +166,17 @@
         ({"seed": "x"}, "seed: Expected `int`"),
     ],
 )
-def test_a_wrong_script_is_refused_with_the_place_and_the_remedy(table, words):
+def test_an_invalid_script_is_rejected_with_the_place_and_the_rule(table, message):
     with pytest.raises(ScriptError) as e:
         parse_script(table, "s.toml")
     assert str(e.value).startswith("s.toml: ")
-    assert words in str(e.value)
+    assert message in str(e.value)
 
 
 @pytest.mark.parametrize(
     "text", ["example.org:80", "10.0.0.1:80", "127.0.0.1", "127.0.0.1:99999", "::1"]
 )
-def test_only_loopback_addresses_are_taken(text):
+def test_only_loopback_addresses_are_accepted(text):
     assert parse_loopback("127.4.0.9:80") == ("127.4.0.9", 80)
     assert parse_loopback("[::1]:80") == (
         "::1",
@@ -184,23 +186,23 @@
         parse_loopback(text)
 
 
-# ---- each kind, from a real socket ---------------------------------------------------------------------
+# ---- each kind, on real sockets ------------------------------------------------------------------------
 
 
 @asynccontextmanager
 async def proxy_to(serve, *rules: dict, seed: int = 1):
-    """A proxy before a server that `serve(reader, writer)` plays; gives the port, the log and the proxy."""
-    behind = await asyncio.start_server(serve, "127.0.0.1", 0)
+    """A proxy in front of a server whose connections `serve` handles; yields port, log and proxy."""
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
     lines: list[str] = []
     proxy = FaultProxy(
-        script(*rules, seed=seed), behind.sockets[0].getsockname()[:2], lines.append
+        script(*rules, seed=seed), server.sockets[0].getsockname()[:2], lines.append
     )
     _, port = await proxy.start(("127.0.0.1", 0))
     try:
         yield port, lines, proxy
     finally:
         await proxy.stop()
-        behind.close()
+        server.close()
 
 
 async def echo(reader, writer) -> None:
@@ -212,7 +214,7 @@
 
 
 async def talk(port: int, data: bytes, eof: bool = True) -> tuple[bytes, str]:
-    """What comes back for these bytes, and how it ends: `eof` or `reset`."""
+    """The answer to these bytes, and how the connection ends: `eof` or `reset`."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     if eof:
@@ -241,7 +243,7 @@
         ({"kind": "refuse"}, (b"", "reset")),
     ],
 )
-def test_each_kind_as_the_client_sees_it(rule, got):
+def test_each_kind_as_seen_by_the_client(rule, got):
     async def scene():
         async with proxy_to(echo, rule) as (port, lines, _):
             assert await talk(port, b"abcdef", eof=rule["kind"] != "cut") == got
@@ -278,12 +280,14 @@
     play(scene)
 
 
-def test_after_a_half_close_the_other_direction_keeps_talking():
+def test_after_a_half_close_the_other_direction_continues():
     async def scene():
         heard: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def serve(reader, writer):
-            heard.put_nowait(await reader.read())  # up to the end that the tool makes
+            heard.put_nowait(
+                await reader.read()
+            )  # up to the end of the stream that the tool causes
             for _ in range(50):
                 writer.write(b"still here ")
                 await asyncio.sleep(0)
@@ -294,7 +298,9 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"abcdef")
             assert await asyncio.wait_for(heard.get(), 20) == b"abc"
-            writer.write(b"x" * 100_000)  # dropped: it neither arrives nor blocks
+            writer.write(
+                b"x" * 100_000
+            )  # dropped: these bytes neither arrive nor block
             await writer.drain()
             assert await asyncio.wait_for(reader.read(-1), 20) == b"still here " * 50
             writer.close()
@@ -302,7 +308,7 @@
     play(scene)
 
 
-def test_an_end_without_a_fault_is_passed_on_one_way_only():
+def test_an_end_without_a_fault_is_forwarded_in_one_direction_only():
     async def scene():
         async with proxy_to(echo) as (port, lines, _):
             assert await talk(port, b"abc") == (b"abcend", "eof")
@@ -311,7 +317,7 @@
     play(scene)
 
 
-def test_split_bytes_arrive_apart_wherever_they_are_cut():
+def test_split_bytes_arrive_separately():
     async def scene():
         reads: list[bytes] = []
 
@@ -363,7 +369,7 @@
     play(scene)
 
 
-def test_commands_strike_while_it_runs():
+def test_commands_take_effect_while_the_proxy_runs():
     async def scene():
         async with proxy_to(echo) as (port, lines, proxy):
             control = ControlServer(proxy)
@@ -371,8 +377,8 @@
             where = control.server.sockets[0].getsockname()[:2]
             reader, writer = await asyncio.open_connection(*where)
 
-            async def do(**wish):
-                writer.write(json.dumps(wish).encode() + b"\n")
+            async def do(**command):
+                writer.write(json.dumps(command).encode() + b"\n")
                 return json.loads(await asyncio.wait_for(reader.readline(), 20))
 
             back, out = await asyncio.open_connection("127.0.0.1", port)
@@ -425,7 +431,7 @@
     play(scene)
 
 
-def test_the_command_line_runs_a_script_and_names_what_is_wrong(tmp_path: Path):
+def test_the_command_line_runs_a_script_and_reports_an_invalid_one(tmp_path: Path):
     (tmp_path / "s.toml").write_text('[[rule]]\nkind = "cut"\nat = 2\n')
     (tmp_path / "bad.toml").write_text('[[rule]]\nkind = "delay"\n')
 
@@ -449,8 +455,8 @@
         _, error = await bad.communicate()
         assert bad.returncode == 2
         assert b"rule[0].ms: missing" in error
-        behind = await asyncio.start_server(echo, "127.0.0.1", 0)
-        to = f"127.0.0.1:{behind.sockets[0].getsockname()[1]}"
+        server = await asyncio.start_server(echo, "127.0.0.1", 0)
+        to = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         tool = await run(
             "--to",
             to,
@@ -467,17 +473,17 @@
         tool.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(tool.wait(), 20) == 0
         assert not (tmp_path / "c").exists()
-        behind.close()
+        server.close()
 
     play(scene)
 
 
-# ---- the node behind it --------------------------------------------------------------------------------
+# ---- a node and the tool -------------------------------------------------------------------------------
 
 
 @asynccontextmanager
 async def node_with(server: Server, *rules: dict, before: bool = False):
-    """A node with the tool between it and its server, or before the node."""
+    """A node with the tool between the node and its server, or in front of the node."""
     bench = await Bench(server).start()
     if before:
         proxy = FaultProxy(script(*rules), ("127.0.0.1", bench.port))
@@ -527,7 +533,7 @@
         {"kind": "freeze", "at": 25},
     ],
 )
-def test_an_unsafe_request_whose_answer_is_spoilt_fails_and_never_runs_twice(rule):
+def test_an_unsafe_request_with_a_broken_answer_fails_and_is_never_repeated(rule):
     async def scene():
         async with node_with(
             server := Server(), rule | {"connections": {"last": 1}}
@@ -542,7 +548,7 @@
 
 
 def test_a_client_that_closes_one_direction_still_gets_its_answer_or_none():
-    """A half-close behind a whole request: the client may still read."""
+    """A half-close after a complete request: the client may still read."""
 
     async def scene():
         request = call("invite", 5000)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The wire codec both ways, and each malformed case."""
+"""The simulator adapter: events and actions on its wire, and errors for malformed input."""
 
 import io
 import json
@@ -80,12 +80,13 @@
 
 
 def run(data: bytes) -> bytes:
+    """The replies to all batches of an input."""
     out = io.BytesIO()
     serve(io.BytesIO(data), out)
     return out.getvalue()
 
 
-def test_a_request_is_relayed_and_its_reply_framed():
+def test_a_request_is_sent_to_a_server_and_its_reply_is_framed():
     reply = run(frame(create(), members(), accept()) + frame(now=2000))
     (size,) = struct.unpack_from("<I", reply)
     code, node, request, server, timeout = struct.unpack_from("<BHQII", reply, 4)
@@ -96,7 +97,7 @@
     assert reply[4 + size :] == b"\0\0\0\0"
 
 
-def test_an_outcome_with_a_report_is_read_to_its_end():
+def test_an_outcome_with_reported_values_is_read_completely():
     verdict = struct.pack("<BHQBIIBHB2f", 8, 3, 1, 0, 900, 11, 0, 502, 2, 1.0, 2.0)
     host = Host()
     host.handle_batch(3, create() + members(servers=(11,)), 0)
@@ -121,10 +122,10 @@
     assert struct.unpack_from("<I", reply)[0] == len(reply) - 4
     assert (
         b"\x41\x03\x00" not in reply[4:7]
-    )  # the instance was stopped before the request came
+    )  # the instance was stopped before the request
 
 
-def test_every_action_is_written_in_the_wire_s_layout():
+def test_every_action_has_the_layout_of_the_wire():
     out = bytearray()
     actions = WireActions(out, 3)
     expected = b""
@@ -153,7 +154,7 @@
     assert bytes(out) == expected
 
 
-def test_an_exception_in_the_module_becomes_a_fault(monkeypatch):
+def test_an_exception_in_the_policy_is_reported_as_a_fault(monkeypatch):
     def broken(*args):
         raise RuntimeError("boom")
 
@@ -199,17 +200,17 @@
     "null classes": (frame(create({**ENV, "classes": None})), "classes"),
     "no class": (frame(create({**ENV, "classes": []})), "classes"),
     "class not an object": (frame(create({**ENV, "classes": [3]})), r"classes\[0\]"),
-    "class without an aim": (
+    "class without a goal time": (
         frame(create({**ENV, "classes": [{"effect": "free"}]})),
         r"classes\[0\].goal_time",
     ),
     "tenants an object": (frame(create({**ENV, "tenants": {"a": 1}})), "tenants"),
-    "tenant a word": (frame(create({**ENV, "tenants": ["a"]})), r"tenants\[0\]"),
-    "quota a word": (
+    "tenant a string": (frame(create({**ENV, "tenants": ["a"]})), r"tenants\[0\]"),
+    "quota a string": (
         frame(create({**ENV, "tenants": [{"quota_rps": "9"}]})),
         r"tenants\[0\].quota_rps",
     ),
-    "layers a word": (frame(create({**ENV, "layers": "ab"})), "layers"),
+    "layers a string": (frame(create({**ENV, "layers": "ab"})), "layers"),
     "columns of objects": (
         frame(create({**ENV, "report": {"columns": [{}]}})),
         "report.columns",
@@ -222,14 +223,16 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_malformed_input_is_named(name):
+def test_malformed_input_is_rejected_with_its_place(name):
     data, message = MALFORMED[name]
     with pytest.raises((FrameError, ValueError), match=message):
         run(data)
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_malformed_input_ends_with_status_2_and_one_line(name, monkeypatch, capsys):
+def test_malformed_input_ends_the_process_with_status_2_and_one_line(
+    name, monkeypatch, capsys
+):
     data, _ = MALFORMED[name]
     monkeypatch.setattr(adapter.sys, "stdin", io.TextIOWrapper(io.BytesIO(data)))
     monkeypatch.setattr(adapter.sys, "stdout", io.TextIOWrapper(io.BytesIO()))
@@ -250,7 +253,7 @@
     assert read_settings(json.dumps(env).encode()).tenants == ()
 
 
-def test_the_process_exits_plainly():
+def test_the_process_has_the_right_exit_status_and_output():
     def start(data):
         command = [sys.executable, "-m", "loadbalancer.simulator"]
         return subprocess.run(
@@ -272,7 +275,7 @@
     assert good.stdout[4] == 65
 
 
-def test_settings_are_read_with_their_own_names():
+def test_settings_are_read_by_their_names_on_the_wire():
     s = read_settings(json.dumps(ENV).encode())
     assert s.report_fields == ("inflight", "odd")
     assert s.instances == 2
@@ -280,8 +283,8 @@
     assert [int(c.idempotency) for c in s.classes] == [1, 2]
 
 
-def day(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
-    """The replies of one process that hosts these instances, over some requests and outcomes."""
+def replies_of(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
+    """The replies of one process with these instances to 60 requests each and their outcomes."""
     host = Host()
     replies = []
     for node in nodes:
@@ -304,7 +307,7 @@
     return replies
 
 
-def test_names_do_not_matter():
+def test_names_in_the_settings_do_not_change_decisions():
     def named(prefix: str) -> dict:
         classes = [{**c, "name": f"{prefix}{i}"} for i, c in enumerate(ENV["classes"])]
         tenants = [{"name": prefix, "quota_rps": 5.0}]
@@ -315,14 +318,14 @@
         }
         return {**ENV, **names, "classes": classes, "tenants": tenants}
 
-    replies = day(named("alpha"), (3,))
-    assert replies == day(named("other"), (3,))
+    replies = replies_of(named("alpha"), (3,))
+    assert replies == replies_of(named("other"), (3,))
     assert sum(r[4:5] == b"\x41" for r in replies) > 20
 
 
-def test_instances_act_alike_in_one_process_and_in_several():
-    together = day(ENV, (3, 4))
-    apart = {node: day(ENV, (node,)) for node in (3, 4)}
+def test_instances_decide_the_same_in_one_process_and_in_several():
+    together = replies_of(ENV, (3, 4))
+    apart = {node: replies_of(ENV, (node,)) for node in (3, 4)}
     by_node = {3: [], 4: []}
     for reply in together:
         if len(reply) > 4:
