--- a/loadbalancer/cli/tables.py
+++ b/loadbalancer/cli/tables.py
@@ -37,7 +37,7 @@
     "p99_ms",
     "tries",
 )
-MAX_SEED_COLUMNS = 6  # with more seeds, mean, minimum and maximum are shown
+MAX_SEED_COLUMNS = 6  # for more seeds the table has mean, minimum and maximum
 # Decimal places by the absolute value from which they apply; smaller values have 4.
 DECIMALS = ((1000, 0), (10, 1))
 MAX_NOTES = 5  # notes on broken rules printed for each run
--- a/loadbalancer/fault/address.py
+++ b/loadbalancer/fault/address.py
@@ -8,7 +8,7 @@
 from loadbalancer.errors import LoadBalancerError
 
 MAX_PORT = 65_535
-DEFAULT_HOST = "127.0.0.1"  # where a text has a port only
+DEFAULT_HOST = "127.0.0.1"  # host of an address that has only a port
 
 Address = tuple[str, int]  # host, as an IP address, and port
 
--- a/loadbalancer/fault/control.py
+++ b/loadbalancer/fault/control.py
@@ -24,7 +24,7 @@
 from loadbalancer.fault.rules import FaultRule, FaultScript
 from loadbalancer.fault.script import parse_script
 
-MAX_COMMAND_BYTES = 1 << 20  # of one line
+MAX_COMMAND_BYTES = 1 << 20  # limit of one line
 COMMAND_SOURCE = "command"  # stands in errors where a script has its file name
 
 JsonObject = dict[str, Any]
--- a/loadbalancer/fault/header_finder.py
+++ b/loadbalancer/fault/header_finder.py
@@ -22,7 +22,7 @@
     def __init__(self, name: str, occurrence: int) -> None:
         self.pattern = b"\n" + name.lower().encode("latin-1", "replace") + b":"
         self.remaining = occurrence
-        self.matched = 0  # bytes of `pattern` matched so far
+        self.matched = 0  # number of bytes of `pattern` matched so far
         self.before_value = False  # after the colon
 
     @property
--- a/loadbalancer/fault/rules.py
+++ b/loadbalancer/fault/rules.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-MAX_RULES = 1000  # of each kind of table in a script
+MAX_RULES = 1000  # limit for each kind of table in a script
 MAX_OFFSET = 1 << 40  # bytes
 FOREVER_S = 0.0  # duration of a freeze that lasts until the connection ends or a command resumes it
 MS_PER_S = 1000
--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -46,7 +46,7 @@
 NOTIFY_ME_CODE, PROBE_CODE, RELEASE_CODE, NOTIFY_CODE = 69, 70, 71, 72
 JOURNAL_LINE_CODE, BAIL_OUT_CODE, LISTEN_CODE, QUERY_ALL_CODE = 73, 74, 75, 76
 
-OK_STATUS = 200  # of health checks and of attempts
+OK_STATUS = 200  # status of a successful health check or attempt
 # Outcomes of attempts by their status on the wire.
 OUTCOMES = {
     OK_STATUS: Outcome.OK,
@@ -72,7 +72,7 @@
 )
 MAX_TIMER_US = 4_260_000_000  # longer timers are shortened to this
 MAX_U32 = 0xFFFFFFFF
-MAX_TEXT_BYTES = 0xFFFF  # of a log line or a fault; the rest is cut off
+MAX_TEXT_BYTES = 0xFFFF  # limit of log lines and fault texts; the rest is cut off
 ALL_PEERS = 0xFFFF  # receiver of a message to all peers
 
 
