--- a/loadbalancer/freeze/coordinator_context.py
+++ b/loadbalancer/freeze/coordinator_context.py
@@ -79,7 +79,10 @@
         )
 
     def redirect(self, node: str) -> Send:
-        """Returns a message that redirects a node to the leader, if another node is known to lead."""
+        """Returns a message that redirects a node to the leader.
+
+        The name in it is empty if no other node is known to lead.
+        """
         leader = self.elector.leader
         known_leader = "" if leader == self.elector.name else leader
         return Send(node, RedirectToLeader(known_leader, self.elector.term))
--- a/loadbalancer/freeze/locator.py
+++ b/loadbalancer/freeze/locator.py
@@ -39,7 +39,7 @@
         self.term, self.coordinator, self.last_contact_at = term, coordinator, now
 
     def redirect(self, sender: str, redirect: RedirectToLeader) -> bool:
-        """Applies an elector's redirect; returns whether it names another coordinator than known."""
+        """Applies a node's redirect; returns whether it names another coordinator than the known one."""
         if redirect.term < self.term:
             return False
         if redirect.leader in ("", sender, self.coordinator):
--- a/loadbalancer/freeze/messages.py
+++ b/loadbalancer/freeze/messages.py
@@ -5,7 +5,8 @@
 range raises a `FreezeMessageError`.
 
 The structs are encoded as arrays, so the order and types of the fields are part of the wire format and their
-names are not. Times are microseconds of the monotonic clock of the node that the field names.
+names are not. Times are microseconds of the monotonic clock of the node that sent the message; an answer
+repeats the time of the message that it answers, which is by the clock of that message's sender.
 """
 
 from __future__ import annotations
@@ -103,7 +104,8 @@
         sent_at: That of the message answered, by the leader's clock.
         stored_version: Version in the elector's store.
         applied_version: Version in the elector's memory, whose write may not be complete.
-        lease_granted: Whether the elector votes for no other candidate for a lease, counted from `sent_at`.
+        lease_granted: Whether the elector votes for no other candidate for a lease. The elector counts it
+            from the arrival of the message, the leader from `sent_at`.
     """
 
     term: Number
@@ -124,9 +126,11 @@
 
     Attributes:
         nonce: That of the request.
-        term: The sender's term.
-        version: Version of the sender's state.
-        state_lost: Whether the sender has lost its own store.
+        term: The sender's term; from a member that is not an elector, the highest term in a message of a
+            coordinator that it has received.
+        version: The newest version of the state that the sender knows of; `INITIAL_VERSION` from a member
+            that is not an elector.
+        state_lost: Whether the sender has lost its own store; also true from a member that is not an elector.
         reset_declared: Whether an operator has declared at the sender that the replicated state is lost.
     """
 
@@ -201,7 +205,7 @@
 
 
 class RedirectToLeader(msgspec.Struct, tag=13, array_like=True, frozen=True):
-    """An elector that is not the leader names the leader; empty if it knows none."""
+    """A node that is not the coordinator names the leader; empty if it knows of no other node that leads."""
 
     leader: OptionalName
     term: Number
--- a/loadbalancer/freeze/no_coordinator.py
+++ b/loadbalancer/freeze/no_coordinator.py
@@ -26,7 +26,8 @@
 
     Args:
         rule: The rule for its kind of change.
-        silence_us: Time since the last message of a coordinator, in microseconds.
+        silence_us: Time since the last message of a coordinator, or since the client's start if there was
+            none, in microseconds.
         stopped_by: A known open incident that stops the change; None if there is none.
         electors: Names of the electors.
     """
--- a/loadbalancer/freeze/rules.py
+++ b/loadbalancer/freeze/rules.py
@@ -67,7 +67,10 @@
 
     @property
     def candidacy_jitter_us(self) -> int:
-        """Largest random delay before a candidacy, and the least duration of one."""
+        """Largest random delay before a candidacy, and the least duration of one.
+
+        It is also the interval of recovery requests.
+        """
         return max(1, self.lease_us // 4)
 
 
@@ -106,7 +109,7 @@
     Attributes:
         answer_after_us: Delay after which the node answers the request itself.
         proceed_after_silence_us: Time since the last message of any coordinator after which the change
-            proceeds without a grant; None if it never does.
+            proceeds without a grant, also counted from the client's start; None if it never does.
     """
 
     answer_after_us: int
@@ -114,8 +117,8 @@
 
 
 # Reloads are deliberate actions of a person on this machine, and may be needed to repair the electors
-# themselves; bringing up a node moves in the safe direction. Changes that move traffic wait longer. Changes
-# that remove nodes or servers wait for a coordinator, or for an operator to declare an emergency.
+# themselves; the catch-up of a node that is behind can only improve its state. Changes that move traffic
+# wait longer. Changes that remove nodes or servers always wait for a coordinator, even in an emergency.
 DEFAULT_NO_COORDINATOR_RULES = {
     Change.SETTINGS.value: NoCoordinatorRule(8_000_000, 8_000_000),
     Change.OPERATION.value: NoCoordinatorRule(8_000_000, 8_000_000),
@@ -139,7 +142,9 @@
         electors: Names of the electors, one of which is the coordinator.
         coordinator: The coordinator's rules.
         drift_ratio: As in `ElectionRules`.
-        retry_interval_us: Time to wait for the first answer; it doubles with each retry.
+        retry_interval_us: Time to wait for the first answer to a request; it doubles with each retry, up to
+            eight times its first value. Returns of grants and operators' commands are repeated at this
+            interval.
         incident_lifetime_us: Time since the last message of any coordinator for which a known incident stays
             in effect.
         no_coordinator: By kind of change, the rule that applies while no coordinator answers.
