--- a/loadbalancer/freeze/changes.py
+++ b/loadbalancer/freeze/changes.py
@@ -1,6 +1,7 @@
 """Kinds of change that need a grant, and the answer to a request for one.
 
-This module has data types only; features import them from `node/features/feature.py`.
+This module has data types only. Features other than the change freeze itself import them from
+`node/features/feature.py`.
 """
 
 from __future__ import annotations
--- a/loadbalancer/freeze/client.py
+++ b/loadbalancer/freeze/client.py
@@ -49,9 +49,10 @@
 from loadbalancer.freeze.request_id import parse_request_id
 from loadbalancer.freeze.rules import ClientRules
 
-MAX_PENDING = 256  # bounds requests and unacknowledged finishes, each on its own
+MAX_PENDING = 256  # pending requests, and also unacknowledged returns of grants
 MAX_BACKOFF_DOUBLINGS = 3  # the retry interval grows to eight times its initial value
-MAX_FINISH_ATTEMPTS = 20  # if none is acknowledged, the grant expires on its own
+# Repeats of a grant's return; if none is acknowledged, the grant expires on its own.
+MAX_FINISH_ATTEMPTS = 20
 
 
 class FreezeClient:
@@ -69,7 +70,7 @@
         outcomes: Outcomes that `drain` returns, and recent final ones.
         incidents: Open incidents as the coordinator last reported them.
         locator: The known coordinator, and where to send the next message.
-        fences: Highest fencing token seen in each scope.
+        fences: Highest fencing token accepted or seen revoked in each scope.
         commands: Operators' commands that have no reply.
     """
 
@@ -99,7 +100,11 @@
         self.commands.retry_interval_us = rules.retry_interval_us
 
     def request(self, now: int, change: RequestedChange) -> list[Send]:
-        """Requests a grant for a change; for an id that is already known, reports its outcome again."""
+        """Requests a grant for a change.
+
+        For the id of an active change, or of a request with a final outcome, that outcome is reported again;
+        for the id of a pending request, nothing happens.
+        """
         self._advance_clock(now)
         active = self.active.get(change.id)
         if active is not None:
@@ -182,9 +187,9 @@
         return self.outcomes.drain()
 
     def open_incidents(self) -> list[IncidentNotice]:
-        """Returns the incidents in force at this node.
+        """Returns the known open incidents, which stop changes at this node.
 
-        There are none once no message of a coordinator has arrived for `incident_lifetime_us`.
+        It returns none once no message of a coordinator has arrived for `incident_lifetime_us`.
         """
         if self.now >= self.locator.last_contact_at + self.rules.incident_lifetime_us:
             return []
@@ -193,7 +198,7 @@
     # ---- messages -------------------------------------------------------------------------------------
 
     def receive(self, now: int, sender: str, message: FreezeMessage) -> list[Send]:
-        """Handles a message of a coordinator, or a redirect from an elector that does not coordinate."""
+        """Handles a message of a coordinator, or a redirect from a node that does not coordinate."""
         self._advance_clock(now)
         if isinstance(message, RedirectToLeader):
             return self._on_redirect(sender, message)
@@ -367,7 +372,7 @@
             self.outcomes.revoked(active.change.id, reason, active.token)
 
     def _expire(self, active: ActiveChange) -> list[Send]:
-        """Stops a change whose grant has expired; it may be requested again."""
+        """Stops a change whose grant has expired; it may be requested again, but only under another id."""
         reason = "the grant has expired"
         del self.active[active.change.id]
         self._stop(active, reason)
--- a/loadbalancer/freeze/client_state.py
+++ b/loadbalancer/freeze/client_state.py
@@ -63,7 +63,8 @@
         emergency_reason: Nonempty for an emergency, which no incident stops.
         resolves_incident: Id of the incident that the change is to resolve.
         plan: Id of a plan; changes of the same plan do not conflict with each other.
-        wait_us: Time in microseconds for which a deferred request is repeated before it is reported.
+        wait_us: Time in microseconds for which a deferred request is repeated before the deferral is
+            reported.
     """
 
     id: str
@@ -101,7 +102,7 @@
     Attributes:
         change: The change that is requested.
         started_at: When it was first requested.
-        wait_until: Until when a deferral is not reported but the request repeated.
+        wait_until: Until this time, a deferral is not reported; the request is repeated instead.
         due_at: When it is next sent.
         attempts: Number of messages sent since the last answer.
         reissues: How often it was requested again because its grant could not be used and was returned.
--- a/loadbalancer/freeze/fencing.py
+++ b/loadbalancer/freeze/fencing.py
@@ -20,7 +20,7 @@
     def raise_to(self, scope: Scope, token: StateVersion) -> None:
         """Records that a token was accepted or revoked.
 
-        Beyond `MAX_FENCED_SCOPES` scopes, the least recently used one is dropped.
+        Beyond `MAX_FENCED_SCOPES` scopes, the one whose token was recorded least recently is dropped.
         """
         self._highest[scope] = max(token, self._highest.pop(scope, INITIAL_VERSION))
         if len(self._highest) > MAX_FENCED_SCOPES:
--- a/loadbalancer/freeze/request_id.py
+++ b/loadbalancer/freeze/request_id.py
@@ -21,7 +21,8 @@
 def parse_request_id(text: str) -> RequestId:
     """Parses an id from a message.
 
-    Anything after the first separator that is not a number is dropped, and the retry is then 0.
+    Anything after the first separator that is not a number of at most `MAX_RETRY_DIGITS` digits is dropped,
+    and the retry is then 0.
     """
     base, _, suffix = text.partition(RETRY_SEPARATOR)
     if suffix.isdigit() and len(suffix) <= MAX_RETRY_DIGITS:
