--- a/loadbalancer/freeze/candidacy.py
+++ b/loadbalancer/freeze/candidacy.py
@@ -55,7 +55,7 @@
         """Whether a response belongs to this candidacy and is recent enough to count.
 
         A voter that lost its store, and with it the record of its vote, casts no other vote for one lease. So
-        a response counts only within one lease of the request.
+        a response counts only within one lease (`ElectionRules.leader_lease_us`) of the candidacy's start.
         """
         return (
             response.sent_at == self.started_at
@@ -65,7 +65,8 @@
     def requests(self, now: int, request: VoteRequest, after_save: int) -> list[Send]:
         """Returns vote requests for the electors that have not granted their vote yet.
 
-        A request or response may have been lost, or an elector's lease may end a little later.
+        Requests are repeated because a request or response may have been lost, and because an elector that
+        refused may grant its vote once the lease that it gave a leader has ended.
         """
         self.retry_at = now + self.rules.resend_interval_us
         return [
--- a/loadbalancer/freeze/elector.py
+++ b/loadbalancer/freeze/elector.py
@@ -303,7 +303,7 @@
         return Send(sender, response, self.saves.latest_unconfirmed())
 
     def _recover(self) -> list[Action]:
-        """Asks the other electors for their state, or resumes if no surviving state can be missed."""
+        """Asks the other nodes for their state, or resumes if `Recovery.may_resume` permits it."""
         recovery = self.recovery
         if self.now < recovery.next_request_at:
             return []
@@ -373,7 +373,8 @@
             self.now, sender, self.leader
         )
         if not may_vote:
-            # The higher term is ignored too: with it, a node that receives nothing would depose every leader.
+            # A higher term in the request is not adopted either; otherwise a node whose requests arrive but
+            # that receives nothing would depose every leader.
             rejection = VoteResponse(
                 self.term, request.sent_at, False, request.pre_vote
             )
@@ -405,8 +406,8 @@
 
     def _on_vote_response(self, sender: str, response: VoteResponse) -> list[Action]:
         if not response.granted:
-            # Adopting the voter's term avoids requesting one that another elector has already used; the voter
-            # keeps its lease.
+            # Adopting the voter's term avoids a candidacy in a term that another elector has already used.
+            # The lease that the voter granted stays valid.
             if self.role is Role.LEADER:
                 return []
             return self._adopt_term(response.term)
--- a/loadbalancer/freeze/leadership.py
+++ b/loadbalancer/freeze/leadership.py
@@ -63,7 +63,8 @@
         elected_at: When the current term started.
         peers: Progress of the other electors, by name; empty while this elector does not lead.
         term_start_version: Version of the empty command that starts the term.
-        committed_version: The newest version that a majority is known to have stored.
+        committed_version: The newest version that a majority is known to have stored; `INITIAL_VERSION` from
+            the start of a term until this holds for `term_start_version` or a later version.
     """
 
     def __init__(self, rules: ElectionRules, log: ReplicatedLog) -> None:
@@ -92,6 +93,7 @@
     def lease_until(self) -> int:
         """Returns when the lease ends; a new leader has the duration of one lease to obtain its first."""
         leased = sorted((peer.leased_at for peer in self.peers.values()), reverse=True)
+        # The leader and the first `majority - 1` of these others form a majority.
         renewed_at = max(leased[self.rules.majority - 2], self.elected_at)
         return renewed_at + self.rules.leader_lease_us
 
--- a/loadbalancer/freeze/recovery.py
+++ b/loadbalancer/freeze/recovery.py
@@ -73,7 +73,8 @@
         """Records a response of any member.
 
         Returns:
-            Whether a majority of other electors, all with intact stores, has answered.
+            Whether other electors with intact stores have answered in a number that is a majority of all
+            electors.
         """
         if sender not in self.others:
             self.highest_member_term = max(self.highest_member_term, response.term)
