--- a/loadbalancer/freeze/conflicts.py
+++ b/loadbalancer/freeze/conflicts.py
@@ -30,7 +30,7 @@
 
 
 def _conflicts_with(kind: str) -> frozenset[str]:
-    """Returns the kinds that conflict with a kind; its own is one only if it is paired with itself."""
+    """Returns the kinds that conflict with `kind`; `kind` is one of them only if it is paired with itself."""
     conflicting: set[str] = set()
     for pair in CONFLICTING_KINDS:
         if kind in pair:
--- a/loadbalancer/freeze/evidence.py
+++ b/loadbalancer/freeze/evidence.py
@@ -4,8 +4,8 @@
 (`FaultWitness`). The coordinator combines the reports of all members (`EvidenceEvaluator`). A single report
 never opens an incident: more than half of the live members must have reported, and of the nodes with enough
 data on a fault (at least two) more than half must observe it. The incident opens when this has been the case
-for `confirm_us`. It closes when at most a quarter of these nodes has observed the fault throughout
-`clear_us`, so the incident of an intermittent fault stays open.
+for `confirm_us`. It closes when, for `clear_us`, never more than a quarter of these nodes have observed
+the fault, so the incident of an intermittent fault stays open.
 
 This module does no I/O. All times are monotonic microseconds that the caller passes in.
 """
@@ -21,12 +21,12 @@
 RECORD_KIND = "evidence"  # kind of the published records that carry the reports
 MAX_ZONES = 24  # zones in a report
 MAX_SERVERS = 4_096  # servers whose attempts a node counts in a window
-MIN_ATTEMPTS_PER_SERVER = 3
-MIN_ATTEMPTS_FOR_REJECTIONS = 30
-MIN_OBSERVERS = 2  # nodes with enough data on a fault
+MIN_ATTEMPTS_PER_SERVER = 3  # in a window, not rejected; a server with fewer is ignored
+MIN_ATTEMPTS_FOR_REJECTIONS = 30  # in a window, at all servers
+MIN_OBSERVERS = 2  # nodes with enough data on a fault; with fewer, it counts as absent
 OPEN_RATIO = 0.5  # fraction of observers above which the fault is present
 CLEAR_RATIO = 0.25  # fraction of observers up to which the fault is absent
-TENTHS = 10
+TENTHS = 10  # tenths in 1
 UNKNOWN = -1  # in place of tenths, with too few attempts
 NEVER = 0  # in place of a time
 
@@ -37,7 +37,8 @@
 
     Attributes:
         window_us: Length of the window over which a node counts attempts.
-        zone_failure_ratio: A zone fails if at least this fraction of its servers fails.
+        zone_failure_ratio: A zone fails if at least this fraction of its servers fails; a server fails if
+            more attempts at it fail than succeed.
         rejection_ratio: Servers are overloaded if they reject at least this fraction of attempts.
         confirm_us: How long a fault must be present before an incident opens.
         clear_us: How long a fault must be absent before its incident closes.
@@ -252,7 +253,7 @@
 class EvidenceEvaluator:
     """Decides which incidents to open and close from the reports of all nodes.
 
-    Each coordinator creates its own when it takes office.
+    Each coordinator creates its own when its term starts.
 
     Attributes:
         rules: Thresholds and times.
@@ -266,7 +267,7 @@
     def adopt(self, now: int, open_scopes: Mapping[str, str]) -> None:
         """Takes over the incidents that an earlier coordinator opened.
 
-        The time until they clear starts again at `now`.
+        `open_scopes` has the scope of each, by incident id. The time until they clear starts again at `now`.
         """
         for incident_id, scope in open_scopes.items():
             self.faults.setdefault(
--- a/loadbalancer/freeze/grants.py
+++ b/loadbalancer/freeze/grants.py
@@ -1,7 +1,8 @@
 """Requests for changes, and the grants that answer them.
 
-Every request is answered at once: with the grant as soon as a majority of electors has stored it, or with the
-reason why it has to wait and the time after which to retry. Requests carry ids, so retries are idempotent.
+A request that can be granted is answered with the grant as soon as a majority of electors has stored it. Any
+other request is answered at once with the reason why it is rejected or has to wait, and the time after which
+to retry. Requests carry ids, so retries are idempotent.
 """
 
 from __future__ import annotations
@@ -108,7 +109,10 @@
         )
 
     def _end_superseded(self, term: LeaderTerm, sender: str, request_id: str) -> None:
-        """Ends grants that their node has returned, and now requests again under the next retry id."""
+        """Ends the change's earlier grants at this node.
+
+        The node has returned them, and now requests the same change again under a later retry id.
+        """
         requested = parse_request_id(request_id)
         if not requested.retry:
             return
