--- a/loadbalancer/transports/memory.py
+++ b/loadbalancer/transports/memory.py
@@ -87,7 +87,7 @@
                 datagram.target.pending -= 1
                 datagram.target.deliver(datagram.data, datagram.source)
         finally:
-            # If a receiver raises, the remaining datagrams are still delivered.
+            # If a receiver raises, the remaining datagrams stay queued; with `call_soon` they are scheduled.
             self._schedule()
         return count
 
--- a/loadbalancer/transports/mux.py
+++ b/loadbalancer/transports/mux.py
@@ -120,7 +120,7 @@
 
     @local_address.setter
     def local_address(self, address: Address | None) -> None:
-        pass
+        pass  # the base class sets the address, but it always is the shared transport's
 
     def listen(self, receiver: DatagramReceiver) -> None:
         """Starts to receive the datagrams of the tag."""
