--- a/loadbalancer/stores/common.py
+++ b/loadbalancer/stores/common.py
@@ -7,7 +7,8 @@
 from loadbalancer.stores.interface import StoreError, StoreFullError
 
 DEFAULT_MAX_BYTES = 16 << 20  # bound of a store if none is configured
-# Bytes that count towards the bound for each record, entry and log, in addition to its data
+# Bytes that count towards the bound for each record, entry and log, in addition to its data, in memory and
+# SQLite stores; a directory store counts the bytes of its files.
 ITEM_OVERHEAD_BYTES = 64
 
 NAME_PATTERN = re.compile(r"[a-z0-9_-]{1,64}")
--- a/loadbalancer/stores/directory.py
+++ b/loadbalancer/stores/directory.py
@@ -1,7 +1,7 @@
 """A store in a folder of files that stays intact if the process is killed or power is lost at any moment.
 
     NAME.record      a record: written to NAME.tmp, fsync, renamed, fsync of the folder
-    NAME.N.log       a segment of a log: its entries from number N on, each appended with an fsync
+    NAME.N.log       a segment of a log: its entries from number N (20 digits) on, each appended with an fsync
     NAME.cut         cut mark of a log: number of its first entry, and the number after its last entry
     NAME.tmp         left over from a kill; removed when the store is next opened
     lock             locked while a process has the store open
@@ -47,8 +47,9 @@
 from loadbalancer.stores.interface import StoreCorruptError
 
 MAX_SEGMENT_BYTES = 1 << 20  # a log then continues in a new segment
-MIN_SEGMENT_BYTES = 4096
-# Segments that a log fills before the store reaches its bound; a cut frees only complete segments
+MIN_SEGMENT_BYTES = 4096  # limit of a segment if the store's bound is small
+# Segments that a log alone fills before the store reaches its bound, if that is at least MIN_SEGMENTS times
+# MIN_SEGMENT_BYTES and no entry exceeds a segment; a cut frees only complete segments
 MIN_SEGMENTS = 16
 FILE_NAME = re.compile(r"([a-z0-9_-]{1,64})\.(?:(record|cut|tmp)|([0-9]{20})\.log)")
 
@@ -307,7 +308,8 @@
     def cut(self, log: str, before: int) -> None:
         """Drops the entries below number `before`; the other entries keep their numbers.
 
-        Only complete segments are freed; a log fills at least 16 of them before the bound is reached.
+        Only complete segments are freed; a log alone fills at least 16 of them before the bound is reached,
+        if the bound is at least 64 KiB and no entry exceeds a segment.
         """
         state = self._logs.get(self._checked_name(log))
         if state is None or min(before, state.next) <= state.first:
@@ -421,7 +423,7 @@
             self._logs[log] = state
 
     def _check_log(self, log: str, state: LogState, mark: bytes | None) -> None:
-        """Removes segments that were cut or never complete; a gap in the numbers is corruption."""
+        """Removes segments that were cut or have no complete entry; a gap in the numbers is corruption."""
         if mark is not None:
             path = self._path_of(f"{log}.cut")
             state.first, state.next = decode_cut_mark(log, mark, path)
--- a/loadbalancer/stores/directory_format.py
+++ b/loadbalancer/stores/directory_format.py
@@ -142,7 +142,7 @@
 
 
 def is_torn_write(tail: bytes, number: int) -> bool:
-    """Returns whether the bytes after the last complete entry can be an interrupted append of `number`."""
+    """Returns whether the bytes after the last complete entry can be a torn write of entry `number`."""
     if len(tail) < ENTRY_HEADER.size:
         return True
     length, checksum = ENTRY_HEADER.unpack_from(tail)
--- a/loadbalancer/stores/factory.py
+++ b/loadbalancer/stores/factory.py
@@ -29,7 +29,8 @@
 
     Attributes:
         kind: Which implementation is used.
-        path: The folder that has a folder for each node; empty for one under $TMPDIR.
+        path: The folder that has a folder for each node; empty for one under $TMPDIR, or under
+            /tmp if that is not set.
         max_bytes: Bound of the store in bytes.
         durable: Whether the folder survives a restart of the machine.
     """
--- a/loadbalancer/stores/sqlite.py
+++ b/loadbalancer/stores/sqlite.py
@@ -36,6 +36,7 @@
 FILE_NAME = "store.db"
 ENTRIES_PER_QUERY = 256
 VERSION_MASK = 0xFFFF  # one of the two copies of the version in `user_version`
+# `sum` is the checksum of a row (`row_checksum`); `counts` has the numbers of records and logs.
 TABLES = (
     "CREATE TABLE records (name TEXT PRIMARY KEY, data BLOB, sum INTEGER) WITHOUT ROWID",
     "CREATE TABLE logs (name TEXT PRIMARY KEY, first INTEGER, next INTEGER, sum INTEGER) WITHOUT ROWID",
