--- a/loadbalancer/audit/catch_up.py
+++ b/loadbalancer/audit/catch_up.py
@@ -84,7 +84,7 @@
 
     @property
     def failed(self) -> bool:
-        """Whether all steps have been tried `max_rounds` times."""
+        """Whether all steps have been tried `max_rounds` times; further rounds follow all the same."""
         return (
             self.attempt is not None
             and self.attempt.round_number >= self.rules.max_rounds
@@ -112,7 +112,10 @@
         return self.advance(attempt, now, health.reason, target, local)
 
     def finish(self, local: LocalState) -> None:
-        """Ends the attempt in progress: the node is not behind any more."""
+        """Ends the attempt in progress: the node is no longer known to be behind.
+
+        If it now holds the target from peers or an agent, its own discovery counts as outdated.
+        """
         attempt = self.attempt
         if (
             attempt is not None
@@ -200,6 +203,7 @@
         """Returns the time (monotonic microseconds) until which the own discovery is waited for."""
         rules = self.rules
         if self.discovery_outdated:
+            # It is still polled, but agents and peers are asked without waiting for it.
             return attempt.behind_since + rules.poll_after_us
         lag_deadline = attempt.behind_since + rules.lag_us
         if local.discovery_answered_at >= attempt.behind_since:
