--- a/loadbalancer/audit/comparison.py
+++ b/loadbalancer/audit/comparison.py
@@ -44,7 +44,8 @@
 def effective_version(status: StatusRecord, target: Frontier) -> EffectiveVersion:
     """Returns the version that a member holds: its own discovery's, or its peers' if that is newer.
 
-    The adopted version also counts if it is the target itself, under the same number.
+    The adopted version also counts if it is the target itself and the discovery's version, of other content,
+    has the same number.
     """
     discovered, adopted = status.list_version, status.adopted
     number = discovered.number if discovered is not None else NO_LIST
@@ -60,7 +61,12 @@
 
 
 def compare_content(status: StatusRecord, reference: Frontier | None) -> Comparison:
-    """Compares a member whose origin has no frontier with the content that the majority holds."""
+    """Compares a member whose origin has no frontier, or that has no list, with the majority's content.
+
+    Args:
+        status: The member's status.
+        reference: The frontier of the origin that a majority uses; None if there is none.
+    """
     discovered, adopted = status.list_version, status.adopted
     if discovered is None:
         reason = "holds no list, and no quorum holds one"
