--- a/loadbalancer/audit/endpoint_transfer.py
+++ b/loadbalancer/audit/endpoint_transfer.py
@@ -21,7 +21,19 @@
 
 
 class EndpointRow(NamedTuple):
-    """One endpoint as discovery reported it. The fields are encoded as an array, in this order."""
+    """One endpoint as discovery reported it. The fields are encoded as an array, in this order.
+
+    Attributes:
+        id: The endpoint's name.
+        host: Host of its address.
+        port: Port of its address.
+        zone: Name of its zone; may be empty.
+        kind: Name of its kind; may be empty.
+        cell: Number of its cell.
+        state: Name of its state.
+        weight: Its weight.
+        started: Unix time of its start in microseconds; 0 if long ago.
+    """
 
     id: str
     host: str
@@ -122,6 +134,7 @@
         Returns:
             Whether all parts have been received.
         """
+        # No part is empty, so there are no more parts than endpoints.
         valid = 0 <= part.index < part.part_count <= MAX_ENDPOINTS
         if part.target != self.target or not valid:
             return False
