--- a/loadbalancer/audit/fleet_observer.py
+++ b/loadbalancer/audit/fleet_observer.py
@@ -40,7 +40,8 @@
 from loadbalancer.audit.rules import FleetRules
 from loadbalancer.audit.status import QuarantineState, StatusRecord
 
-MAX_RELAPSES = 16  # bounds the exponent of the dwell time
+# Relapses that are counted; bounds the exponent of the factor of the dwell time.
+MAX_RELAPSES = 16
 US_PER_S = 1e6
 
 
@@ -190,6 +191,7 @@
             if member is None or now - member.last_alive > rules.forget_us:
                 self.members[name] = MemberHistory(now, now, since=now)
                 continue
+            # While this node was suspended it observed no member, so no member counts as absent.
             was_absent = now - member.last_alive > rules.max_step_us
             if was_absent and self.resumed_at != now:
                 member.joined_at = now
@@ -263,7 +265,11 @@
         )
 
     def dwell_left(self, member: MemberHistory, now: int) -> int:
-        """Returns the dwell time in microseconds if the member has yet to complete it, else 0."""
+        """Returns the dwell time of an outdated or silent member until the member has completed it, else 0.
+
+        It is the full dwell time in microseconds, not the rest of it. Records the recovery of a member that
+        has completed it.
+        """
         if member.state not in OUTDATED_STATES | {HealthState.SILENT}:
             return 0
         factor = min(self.rules.max_dwell_factor, 1 << member.relapses)
@@ -322,7 +328,10 @@
         target: Frontier,
         context: ObservationContext,
     ) -> Comparison:
-        """Compares a member that holds a newer number, which no other member may ever report."""
+        """Compares a member that holds a newer number than the frontier.
+
+        It is current, unless for `unconfirmed_us` no other member has reported the number.
+        """
         member.differs_since = 0
         number = version.number
         if context.reports[VersionNumber(target.origin, number)] > 1:
