--- a/loadbalancer/audit/fleet_view.py
+++ b/loadbalancer/audit/fleet_view.py
@@ -13,10 +13,14 @@
     """A member's health. The values appear in metrics and on admin pages."""
 
     CURRENT = "current"
-    LAGGING = "lagging"  # behind the frontier for less than `FleetRules.lag_us`
-    STRAGGLER = "straggler"  # behind the frontier for longer
+    # Behind the frontier for less than `FleetRules.lag_us`, or with other content under the frontier's number
+    # for less than `FleetRules.confirm_divergence_us`.
+    LAGGING = "lagging"
+    # Behind the frontier for longer, or behind again without having been current since.
+    STRAGGLER = "straggler"
     DIVERGED = "diverged"  # holds other content under the frontier's number
-    SILENT = "silent"  # alive, but its status is missing or stale
+    # Alive, but its status has been missing or stale for `FleetRules.silence_us`.
+    SILENT = "silent"
     UNKNOWN = "unknown"  # cannot be compared
 
 
@@ -33,14 +37,14 @@
 
 @dataclass(frozen=True)
 class Frontier:
-    """The highest version of an origin that a quorum holds.
+    """The highest version of an origin that a quorum supports: each of its members holds or has passed it.
 
     Attributes:
         origin: The origin.
         number: The version number.
         digest: Digest of the content; empty if no quorum holds the same content under this number.
         holders: Members that hold the most frequent content of this number at present, sorted.
-        support: Number of members that support the number.
+        support: Number of members that support the number by the rule of the module `frontier`.
         quorum: Number of members that make a quorum.
         voters: Number of members of which the quorum is a majority.
         contested: Whether members hold different contents under this number, none of them a quorum.
