--- a/loadbalancer/audit/frontier.py
+++ b/loadbalancer/audit/frontier.py
@@ -1,8 +1,8 @@
 """The frontier of versions: the highest version of an origin that a quorum holds.
 
 A member supports each version that its status lists: the one that it holds and the last ones before it. It
-supports lower versions only if a second member reports the higher version as well; so a single member that
-reports version 10^9 does not move the frontier.
+supports a version that its status does not list only if the status lists a higher one that a second member
+lists as well; so a single member that reports version 10^9 does not move the frontier.
 """
 
 from __future__ import annotations
