--- a/loadbalancer/audit/ledger.py
+++ b/loadbalancer/audit/ledger.py
@@ -2,8 +2,8 @@
 
 A node acts on one version of each source at a time: the endpoint list, the settings, the operators' file, the
 program, the members, the term. The time between two changes is a span; an attempt belongs to the span in
-which it started, and so to one version of each source. Counting an attempt costs one comparison and one
-addition.
+which it started, and so to one version of each source. Counting an attempt costs a few comparisons and
+additions; the counts are written as entries later.
 
 The log is bounded: after `LedgerRules.checkpoint_entries` entries or `LedgerRules.checkpoint_bytes` bytes, a
 checkpoint is written that contains the chain head, the totals and the spans, and all entries before it may be
@@ -66,8 +66,10 @@
         bytes_since_checkpoint: Size of those entries.
         last_span: Number of the last span; 0 if there is none.
         span: The present span; None before the first activation of the incarnation.
-        uncovered_attempts: Number of attempts that started before any span or whose span has been dropped.
-        unsaved_attempts: Number of attempts that would be lost if the process were killed now.
+        uncovered_attempts: Number of attempts that ended before the first span, which count for no version,
+            or that started before the oldest span that is kept, which count in that one.
+        unsaved_attempts: Number of attempts in spans since the last `flush`, which would be lost if the
+            process were killed now.
     """
 
     def __init__(
@@ -156,7 +158,10 @@
         self.unsaved_attempts += 1
 
     def span_at(self, moment: int) -> Span:
-        """Returns the span that contains a moment, or the oldest that is kept if none does."""
+        """Returns the span that contains a moment.
+
+        If none does, counts an uncovered attempt and returns the oldest span that is kept.
+        """
         for span in reversed(self.state.spans.values()):
             if span.since <= moment:
                 return span
