--- a/loadbalancer/audit/ledger_entries.py
+++ b/loadbalancer/audit/ledger_entries.py
@@ -5,7 +5,8 @@
 Entries are chained by BLAKE2b: reading detects an entry that was changed, removed, inserted or moved, and
 where. (xxhash is faster and detects flipped bits as well, but whoever can write the file can forge an entry
 with any given xxhash.) Whoever rewrites the complete chain changes its head, which the node has reported to
-the others in its status. A missing end is no error, since a killed process leaves one.
+the others in its status. Entries that are missing at the end of the log are no error, since a killed process
+leaves such a log.
 
 Times are microseconds of the node's monotonic clock, which restarts with each incarnation; 0 means not yet.
 """
@@ -209,7 +210,7 @@
 
     Attributes:
         format_version: Version of this format.
-        first_entry: Number of the first entry.
+        first_entry: Number of the first entry; the entries of a chain are numbered from 1.
         head_before: The chain head before the first entry.
         bodies: The encoded entries.
         head_after: The chain head after the last entry.
