--- a/loadbalancer/audit/ledger_reader.py
+++ b/loadbalancer/audit/ledger_reader.py
@@ -26,7 +26,7 @@
 
     Attributes:
         state: The state after the last entry.
-        gaps: Descriptions of the gaps that batches left which the store did not accept.
+        gaps: Descriptions of the gaps in the log, where the store did not accept some batches.
     """
 
     state: LedgerState
@@ -48,7 +48,8 @@
     """Verifies a log and restores the state that its entries add up to.
 
     A checkpoint that does not follow the entries before it is reported as a gap, not as a broken chain: it
-    replaces batches that the store did not accept.
+    replaces batches that the store did not accept. At the start of the log it is not even a gap, since the
+    batches before a checkpoint may be removed.
 
     Args:
         log: The batches with their numbers, oldest first.
