--- a/loadbalancer/audit/ledger_state.py
+++ b/loadbalancer/audit/ledger_state.py
@@ -200,7 +200,10 @@
         )
 
     def fold_oldest(self, max_records: int) -> None:
-        """Adds the oldest records that no span refers to to the totals, down to `max_records` if possible."""
+        """Moves the oldest records to the totals until at most `max_records` are left, if possible.
+
+        Records that a span refers to are kept.
+        """
         used = {id(record) for span in self.spans.values() for record in span.records}
         excess = len(self.records) - max_records
         kept = []
