--- a/loadbalancer/audit/quarantine.py
+++ b/loadbalancer/audit/quarantine.py
@@ -6,9 +6,9 @@
 for it. Any two majorities for one slot have a member in common, so no two nodes are ever quarantined in the
 same slot, and a minority can quarantine no node.
 
-A vote is withdrawn only once the requester's own status no longer contains the request, and a withdrawn
-request is never used again. A member that has just started, or was suspended, does not vote; so it cannot
-vote twice.
+A vote is withdrawn only once the requester's own status no longer contains the request, or the requester has
+been forgotten; a withdrawn request is never used again. A member that has just started, or was suspended,
+does not vote, so it cannot vote twice; it only restores votes for members that are quarantined already.
 
 A quarantined node rejoins when it has held the frontier for `RemediationRules.rejoin_after_us`, when there
 has been no majority to compare it with for `RemediationRules.no_majority_us`, or at once when too few other
