--- a/loadbalancer/audit/remediator.py
+++ b/loadbalancer/audit/remediator.py
@@ -33,7 +33,8 @@
         voter: This node's votes on the requests of others.
         started_at: Time of the first update in monotonic microseconds; 0 before it.
         unsettled: Whether the last observation was not settled.
-        notified: When a member was found to be behind a version number, by both.
+        notified: When a member was first found to be behind a version number, by the member and the number,
+            in monotonic microseconds; also if other members notify it.
     """
 
     def __init__(self, name: str, rules: RemediationRules, seed: int) -> None:
