--- a/loadbalancer/audit/rules.py
+++ b/loadbalancer/audit/rules.py
@@ -21,7 +21,8 @@
             member reports has an unknown state.
         silence_us: A member that is alive without a fresh status for this time is silent.
         forget_us: A member that is not alive is forgotten after this time.
-        max_step_us: A longer interval between two observations means that this node was suspended.
+        max_step_us: A longer interval between two observations means that this node was suspended. A member
+            that was not alive for longer than this time counts as having joined again.
         settle_us: Time after the start or after such a gap in which this node takes no part in decisions.
     """
 
