--- a/loadbalancer/audit/status.py
+++ b/loadbalancer/audit/status.py
@@ -19,7 +19,7 @@
 MAX_LIST_VERSIONS = 4  # list versions in a status: the present one and those before it
 # Shortest interval at which an otherwise unchanged status is sent again.
 RENEWAL_US = 30_000_000
-# The same interval, for each node that receives the status.
+# That interval is at least this time multiplied by the number of nodes that receive the status.
 RENEWAL_PER_LISTENER_US = 2_000_000
 
 
