--- a/loadbalancer/locality/agreement.py
+++ b/loadbalancer/locality/agreement.py
@@ -96,7 +96,8 @@
         epoch: Changes so far.
         state: The agreed state.
         level: Eighths of the zone that may be in use.
-        applied_level: Eighths that are in use; falls with `level` at once, and grows to it slowly.
+        applied_level: Eighths that are in use; falls with `level` at once, and grows to it slowly, by a
+            quarter of the zone in each `AgreementRules.return_step_us`.
         since_us: When the state was adopted.
         worsened_at_us: When the zone last changed for the worse; None if it never has.
         relapses: Changes for the worse that each followed soon on another one.
@@ -275,6 +276,7 @@
             return DueChange(FIRST_RETURN_STEP, dwell_us)
         if zone.state == ZoneState.RETURNING:
             return self._due_return_step(zone, impaired=impaired)
+        # A degraded zone keeps 2, 4 or 6 eighths, by its healthy ratio.
         level = max(2, min(6, 2 * round(4 * zone.healthy_ratio)))
         if impaired and level < zone.level:
             return DueChange(
@@ -288,7 +290,11 @@
         return DueChange(None)
 
     def _due_return_step(self, zone: AgreedZone, *, impaired: bool) -> DueChange:
-        """Returns the next step of a return: up while the zone is healthy, down while too little of it is."""
+        """Returns the next step of a return: up while the zone is not impaired.
+
+        While it is impaired, the step is down if its healthy ratio is below `MIN_RETURN_HEALTHY_RATIO`; else
+        no step is due.
+        """
         if impaired:
             lower = [level for level in RETURN_LEVELS if level < zone.level]
             if zone.healthy_ratio >= MIN_RETURN_HEALTHY_RATIO:
@@ -332,6 +338,7 @@
             return self._set_status(now, zone, zone.proposal, others, reason)
         status_counts = Counter(report.status for report in others)
         status_counts[zone.status] += 1
+        # Of statuses that equally many nodes hold, the one with the lowest level is the best.
         best, best_count = max(
             status_counts.items(), key=lambda item: (item[1], -item[0][1], item[0])
         )
