--- a/loadbalancer/locality/messages.py
+++ b/loadbalancer/locality/messages.py
@@ -38,7 +38,8 @@
 
     Attributes:
         lost_quarters: The ratio of the node's attempts there that failed, or of the zone's endpoints that are
-            ejected, in quarters; `UNOBSERVED` if the node has too few attempts.
+            ejected, whichever is larger, in quarters; `UNOBSERVED` if the node has too few attempts and no
+            endpoint is ejected.
         slow_quarters: The ratio of the node's attempts there that were late or rejected, in quarters.
         epoch: Changes of the agreed state, as the node counts them.
         state: The state that the node holds.
