--- a/loadbalancer/locality/rules.py
+++ b/loadbalancer/locality/rules.py
@@ -33,8 +33,9 @@
     Attributes:
         failing_ratio: A node reports a zone as failing if it loses this fraction of its attempts there.
         worsening_dwell_us: Evidence must last this long before a change for the worse.
-        return_dwell_us: Evidence must be absent this long before a return; doubled with each relapse.
-        return_step_us: Time between two steps of a return.
+        return_dwell_us: Evidence must be absent this long before a return or an improvement of a degraded
+            zone; doubled with each relapse.
+        return_step_us: Time between two steps of a return; doubled with each relapse after the first.
         relapse_memory_us: Relapses are forgotten after this time without a change for the worse.
     """
 
