--- a/loadbalancer/spread/rate_report.py
+++ b/loadbalancer/spread/rate_report.py
@@ -56,7 +56,7 @@
 
 
 def code_of(rate: float) -> int:
-    """Returns the code of a rate: 1 to 255 for 1/235 to 16 million requests a second, 0 for less."""
+    """Returns the code of a rate: 1 to 255 for 1/235 to 15 million requests a second, 0 for less."""
     if not rate > 0:  # also false for NaN
         return 0
     code = round(ONE_PER_SECOND_CODE + STEPS_PER_OCTAVE * log2(rate))
