--- a/loadbalancer/spread/weights.py
+++ b/loadbalancer/spread/weights.py
@@ -24,6 +24,7 @@
 from loadbalancer.policy.subset import SUBSET_BOUND, Kinds, subset_slice
 from loadbalancer.spread.rate_report import RateReport
 
+# Bounds of a server's factor, applied after the factors have been scaled to a geometric mean of 1.
 MIN_FACTOR, MAX_FACTOR = 0.25, 4.0
 MAX_SWEEPS = 40  # sweeps after which the factors are used as they are
 # Sweeps end once the load of every server is within this ratio of its target.
@@ -192,6 +193,8 @@
         else:
             member_factors = [factors[member] for member in members]
             total = sum(member_factors)
+            # A member is drawn with the probability factor / total * (1 + sum of the other members' odds),
+            # and is selected in half of these cases.
             odds = [factor / (total - factor) for factor in member_factors]
             odds_sum, scale = 1 + sum(odds), row.rate / (2 * total)
             for member, factor, own_odds in zip(
