--- a/loadbalancer/cells/messages.py
+++ b/loadbalancer/cells/messages.py
@@ -52,7 +52,9 @@
         number: The list number that the quorum holds.
         digest: The digest of the list; empty if no quorum holds the same content.
         holders: Members that hold this version.
-        of: Members that use this numbering, including those that report nothing.
+        of: Members of which the quorum is a majority, at most the live ones. If a majority of the members
+            that are not quarantined uses this numbering, all of them, including those that use another one
+            or report nothing; else those that use it.
     """
 
     origin: Origin
@@ -74,8 +76,9 @@
         count: The number of the report within the incarnation.
         known: Members that have not left.
         live: Live members.
-        heard: Live members whose status record the reporter has and that is not stale, including its own.
-        ready: Members that are ready and in service.
+        heard: Live members whose status record the reporter has and that is not stale, including its own;
+            all live members if the reporter has no audit.
+        ready: Members that are ready, and neither quarantined nor requesting it.
         out: Members that are quarantined.
         standings: The number of members in each health state.
         fronts: The frontiers of the most used numberings.
@@ -117,7 +120,7 @@
         number: The highest list number that at least two cells hold or have passed.
         digest: The digest of the list; empty unless all cells that hold the number agree.
         holders: Members that hold the number or a higher one, in all cells whose reports are received.
-        of: Members that use the numbering.
+        of: The sum of `CellFrontier.of` over the cells.
         cells: Cells that use the numbering.
         behind: Cells whose quorum holds a lower number.
         age_s: Seconds since the collector first received the number.
@@ -149,7 +152,7 @@
         odds: Cells whose reporters disagree.
         known: Members that have not left.
         live: Live members.
-        ready: Members that are ready and in service.
+        ready: Members that are ready, and neither quarantined nor requesting it.
         out: Members that are quarantined.
         standings: The number of members in each health state.
         fronts: The frontiers of the most used numberings.
@@ -217,8 +220,8 @@
 def encode(message: Message) -> bytes:
     """Returns the encoded message, of at most `MAX_MESSAGE_BYTES`.
 
-    Until the message fits, the last entry of its longest list is dropped. Frontiers and digests are ordered
-    by use, so that the least used ones are dropped first.
+    Until the message fits, the last entry of its longest list (in bytes) is dropped. Frontiers and digests
+    are ordered by use, so that the least used ones are dropped first.
     """
     data = _encoder.encode(message)
     while len(data) > MAX_MESSAGE_BYTES:
