--- a/loadbalancer/cells/numbering.py
+++ b/loadbalancer/cells/numbering.py
@@ -24,7 +24,7 @@
         number: The highest number that two cells hold or have passed.
         since_us: When the number was first received.
         in_force_at_us: When all members of all cells held it; None if they have not yet.
-        lower_since_us: Since when fewer than two cells have held the number; 0 if two do.
+        lower_since_us: Since when fewer than two cells have held or passed the number; 0 if two have.
         behind: Cells that are behind, with the time since when.
         logged_cells: Cells that are behind and whose event has been logged.
     """
@@ -77,7 +77,11 @@
     def _current_progress(
         self, now: int, origin: str, number: int
     ) -> NumberingProgress | None:
-        """Returns the progress of a numbering with this number; None if too many numberings are tracked."""
+        """Returns the progress of a numbering, of which two cells now hold or have passed `number`.
+
+        A higher number than before starts a new progress at once, a lower one only after `max_age_us`.
+        Returns None if too many numberings are tracked.
+        """
         progress = self.progress.get(origin)
         if progress is None:
             if len(self.progress) >= MAX_NUMBERINGS:
