--- a/loadbalancer/cells/reporter.py
+++ b/loadbalancer/cells/reporter.py
@@ -28,7 +28,8 @@
 MAX_COLLECTORS = 3  # collectors to which each reporter reports
 MIN_POLL_INTERVAL_US = 5_000_000  # between the first two polls of the own discovery
 MAX_POLL_INTERVAL_US = 60_000_000  # limit of the doubling after polls without effect
-POLL_GRACE_US = 2_000_000  # for the own discovery to report the list by itself
+# Time for the own discovery to report the list by itself; a random time below the same limit is added.
+POLL_GRACE_US = 2_000_000
 MAX_REPLIES = 16  # collectors whose replies are stored
 # A change by more than a twentieth of the live members is written at once.
 LIVE_CHANGE_DIVISOR = 20
@@ -170,9 +171,10 @@
 ) -> bool:
     """Returns whether a cell's record of the fleet's summary must be written again.
 
-    It is written at once when a list number changes or is in force everywhere, a cell becomes overdue or
-    reports again, the number of quarantined members or of inconsistent cells changes, or the number of live
-    members changes by more than a twentieth. Any other change is written after `REFRESH_INTERVAL_US`.
+    It is written at once when a list number or digest changes or a list is in force everywhere, a cell
+    becomes overdue or reports again, the number of quarantined members or of inconsistent cells changes, or
+    the number of live members changes by more than a twentieth. Any other change, except in the frontiers,
+    is written after `REFRESH_INTERVAL_US`.
 
     Args:
         now: The present time, in microseconds.
