--- a/loadbalancer/cells/summarize.py
+++ b/loadbalancer/cells/summarize.py
@@ -63,7 +63,8 @@
         reporter: This node's name.
         order: The position of this summary among those of the node.
         members: The cell's members.
-        fleet_view: The audit's latest view of the cell; None without an audit.
+        fleet_view: The audit's latest view of the cell; None without an audit. In that case all live members
+            count as `heard`, and the counts by state stay 0.
     """
     live = members.live
     summary = CellSummary(
