--- a/loadbalancer/node/client/client_socket.py
+++ b/loadbalancer/node/client/client_socket.py
@@ -12,7 +12,7 @@
 
 # SO_LINGER on, with 0 s: a close resets the connection.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-# A C int, which FIONREAD fills with the number of unread bytes.
+# Zeros of the size of a C int: FIONREAD returns the number of unread bytes in a copy of them.
 UNREAD_COUNT_BUFFER = bytes(4)
 
 
@@ -36,7 +36,7 @@
 
 
 def create_hangup_poll(fileno: int) -> select.poll:
-    """Creates a poll object that reports whether the peer has closed its side of the connection."""
+    """Creates a poll object that reports whether the client has closed its side or reset the connection."""
     poll = select.poll()
     poll.register(fileno, select.POLLRDHUP)
     return poll
