--- a/loadbalancer/node/client/connection.py
+++ b/loadbalancer/node/client/connection.py
@@ -27,16 +27,18 @@
     """A client's connection. One request is open at a time; pipelined requests wait for it.
 
     A connection ends in one of three ways: `close` when this node ends it, `on_client_hangup` when the client
-    does, and `abort_response` when a response cannot be completed.
+    does, and `abort_response` when a response cannot be completed. `connection_lost` follows in each case, or
+    comes alone after a reset.
 
     Args:
         listener: The listener that owns the connection and whose budgets it counts against.
-        over_capacity: Whether the connection exceeds the listener's capacity, so that its requests are
-            rejected.
+        over_capacity: Whether the connection exceeds the listener's capacity, so that its request is rejected
+            unless capacity has become free (`ClientListener.is_over_capacity`).
 
     Attributes:
         state: The stage of closing that the connection has reached.
-        last_active_at: The loop time in seconds at which bytes were last received or sent.
+        last_active_at: The loop time in seconds of the accept or, later, at which bytes were last received or
+            sent.
         reader: Parses the requests.
         pipelined: Complete requests that wait until earlier ones are answered, in order.
         open_request: The request that is being answered.
@@ -49,7 +51,7 @@
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.state = ConnectionState.OPEN
         self.last_active_at = listener.loop.time()
-        # Created on first use, polled before each attempt.
+        # Created on first use by `has_hung_up`.
         self.hangup_poll: select.poll | None = None
         self.reader = RequestReader(self)
         self.pipelined: deque[ClientRequest] = deque()
@@ -90,9 +92,10 @@
             self.open_request.upload.forward()
 
     def on_upload_started(self, request: ClientRequest) -> None:
-        """Dispatches a request whose body is streamed, if no earlier request is pending.
+        """Dispatches a request whose body is streamed, unless it has to wait.
 
-        Otherwise reading pauses until the earlier requests on this connection have been answered.
+        While an earlier request on this connection is not answered, or the client does not read its
+        responses, reading pauses instead.
         """
         if (
             self.open_request is None
@@ -104,7 +107,10 @@
             self.pause()
 
     def dispatch_upload(self, request: ClientRequest) -> None:
-        """Hands a request with a streamed body to the handler, and sends 100 Continue if it is expected."""
+        """Hands a request with a streamed body to the handler, which rejects it if there is no capacity.
+
+        If the handler has not answered it yet, 100 Continue is sent where the client expects it.
+        """
         self.reader.request_count += 1
         self.open_request = request
         if self.listener.is_over_capacity(self):
@@ -136,7 +142,7 @@
             self.listener.hangup_watch.add(self)
 
     def resume(self) -> None:
-        """Continues reading. The time during which reading was paused does not count against the client."""
+        """Continues reading. The paused time does not count against the time for a body (`eviction`)."""
         if self.read_paused and not self.transport.is_closing():
             self.read_paused = False
             paused_s = self.listener.loop.time() - self.read_paused_at
@@ -150,7 +156,8 @@
         After a request with wrong framing, its bytes cannot be told apart from those of the next request. The
         open request is therefore abandoned too, and the error is sent without waiting for its response. While
         the response to another request is being streamed, no error is sent: the client would take it for part
-        of that response.
+        of that response. While the response to the rejected request itself is being streamed, the connection
+        is reset instead.
         """
         if self.reader.ended:
             return
@@ -366,7 +373,7 @@
         self.listener.update_accepting()
 
     def abandon_open_request(self) -> None:
-        """Abandons the open request, because no client waits for its response."""
+        """Abandons the open request: the client has gone, or is sent an error in place of its response."""
         request, self.open_request = self.open_request, None
         self.stream.reset()
         if request is not None:
@@ -382,7 +389,10 @@
         self.reader.discard_incoming()
 
     def has_hung_up(self) -> bool:
-        """Whether the client's end of stream, or a reset, is pending on the socket."""
+        """Whether the client's end of stream, or a reset, is pending on the socket.
+
+        Also true before the socket is attached and once the connection is closing.
+        """
         if self.transport is None or self.transport.is_closing():
             return True
         if self.hangup_poll is None:
@@ -392,7 +402,8 @@
     def check_hangup(self) -> bool:
         """Whether the client has gone, according to the socket; if so, its requests are abandoned.
 
-        Called before an attempt starts, because the event loop may not have processed the end of stream yet.
+        Called before an attempt starts, and wherever else it matters whether the client still waits: the
+        event loop may not have processed the end of stream yet.
         """
         if self.has_hung_up():
             self.on_client_hangup()
