--- a/loadbalancer/node/client/eviction.py
+++ b/loadbalancer/node/client/eviction.py
@@ -7,17 +7,19 @@
 if TYPE_CHECKING:
     from loadbalancer.node.client.connection import ClientConnection
 
-# From a request's first byte until its head, or a small request, is complete.
+# From a request's first byte, or from the accept for the first request, until the request is complete. Only a
+# body may take longer, within the two limits below.
 REQUEST_TIMEOUT_S = 2.5
-# From the end of the head, a body may take BODY_START_TIMEOUT_S, plus the time that its bytes need at
-# MIN_BODY_BYTES_PER_S.
+# From the end of the head, a body may take BODY_START_TIMEOUT_S, plus the time that its bytes received so far
+# need at MIN_BODY_BYTES_PER_S.
 BODY_START_TIMEOUT_S = 1.0
 MIN_BODY_BYTES_PER_S = 40_000
 # An incomplete request that receives nothing for this time counts as stalled.
 STALL_TIMEOUT_S = 1.0
 
 # Ranks for `eviction_rank`; connections with the lowest rank are evicted first.
-# Ranks of connections without an incomplete request, by the number of requests so far.
+# Ranks of connections without an incomplete request, by the number of requests so far; the last rank also
+# applies to more requests.
 RANKS_BY_REQUEST_COUNT = (0, 2, 3)
 RANK_STALLED = 1
 RANK_RECEIVING = 4
@@ -48,8 +50,8 @@
 
     Args:
         connection: The connection.
-        inactive_since: Loop time in seconds. A connection that is not idle after a request may be evicted
-            only if nothing has moved on it since then.
+        inactive_since: Loop time in seconds. A connection that has sent no complete request yet, or whose
+            next request is incomplete, may be evicted only if it was last active before then.
     """
     reader = connection.reader
     if connection.open_request or connection.pipelined or reader.ended:
@@ -81,7 +83,8 @@
 def is_request_overdue(connection: ClientConnection, now: float) -> bool:
     """Whether a request should have been received completely by now.
 
-    Also true for an idle connection that is older than REQUEST_TIMEOUT_S; the caller distinguishes the two.
+    Also true for an idle connection whose last request started, or which was accepted, more than
+    REQUEST_TIMEOUT_S ago; the caller distinguishes the two.
     """
     reader = connection.reader
     if connection.pipelined or reader.ended or connection.read_paused:
