--- a/loadbalancer/node/client/interface.py
+++ b/loadbalancer/node/client/interface.py
@@ -18,7 +18,8 @@
     ) -> None:
         """Handles a request that is complete or whose body is streamed.
 
-        `send_response` must be called once for it.
+        It must be answered once, with `send_response`, or with `start_response` and then `finish_response` or
+        `abort_response`, unless `request_abandoned` is called before.
         """
 
     def body_received(self, client: ClientConnection, /) -> None:
@@ -31,7 +32,10 @@
         """
 
     def request_abandoned(self, client: ClientConnection, /) -> None:
-        """Called when the client has disconnected while its request was open."""
+        """Called when the open request needs no response from the handler any more.
+
+        The client has disconnected, or the connection itself has rejected its input.
+        """
 
 
 class ConnectionState(Enum):
