--- a/loadbalancer/node/client/linger.py
+++ b/loadbalancer/node/client/linger.py
@@ -14,7 +14,10 @@
 
 
 def start_linger(connection: ClientConnection, limit_s: float) -> None:
-    """Aborts the connection in `limit_s` seconds, or earlier once it is inactive (`check_linger`)."""
+    """Aborts the connection after about `limit_s` seconds, or earlier once it is inactive.
+
+    `check_linger` decides, every LINGER_S seconds; it allows more time while written bytes are unsent.
+    """
     listener = connection.listener
     listener.over_capacity.discard(connection)
     listener.lingering[connection] = None
