--- a/loadbalancer/node/client/listener.py
+++ b/loadbalancer/node/client/listener.py
@@ -31,8 +31,8 @@
 
 TIMEOUT_CHECK_INTERVAL_S = 0.25
 
-# A connection that was accepted or has received bytes within this time is not evicted, unless it is idle
-# after a request.
+# A connection that was accepted, or has received or sent bytes, within this time is not evicted, unless it is
+# idle after a request.
 EVICTION_GRACE_S = 0.05
 # Evictions in one pass: at most MAX_EVICTIONS_PER_PASS, and at most one in EVICTION_DIVISOR of the open
 # connections, but always at least one.
@@ -42,11 +42,11 @@
 # Periods that begin when the drain starts (SIGTERM):
 ACCEPT_PERIOD_S = 0.5  # new connections are still accepted
 # Open connections still accept requests. The period ends earlier where less than LAST_REQUEST_MARGIN_S would
-# be left until everything must be answered (`requests.deadline_guard`, 3.4 s).
+# be left until everything must be answered (`requests.deadline_guard`: at most 3.4 s after the drain starts).
 REUSE_PERIOD_S = 3.2
 # The same where another process has taken over the listening socket.
 REUSE_PERIOD_SHARED_S = 2.0
-# A request that arrives later is unlikely to be answered in time.
+# A request that arrives less than this before everything must be answered is unlikely to be answered in time.
 LAST_REQUEST_MARGIN_S = 0.2
 # A connection that was accepted or used within this time may be about to send a request.
 SETTLE_TIME_S = 0.2
@@ -73,6 +73,7 @@
         handler: RequestHandler,
     ) -> None:
         self.loop = loop
+        # `capacity` connections are served; `overflow_capacity` more are accepted only to be rejected.
         self.overflow_capacity = overflow_capacity_for(capacity)
         self.capacity = capacity - self.overflow_capacity
         self.handler = handler
@@ -106,7 +107,7 @@
         self.budget.max_bytes = size_bytes
 
     def resize(self, capacity: int, max_held_bytes: int) -> None:
-        """Sets the connection and memory budgets, as in the constructor. Closes no connection."""
+        """Sets the connection and memory budgets, as in the constructor. Served connections stay open."""
         self.overflow_capacity = overflow_capacity_for(capacity)
         self.capacity = capacity - self.overflow_capacity
         self.budget.max_bytes = max_held_bytes
@@ -199,7 +200,11 @@
         self.update_accepting()
 
     def add_connection(self, accepted: socket.socket) -> None:
-        """Serves an accepted socket. Beyond the capacity, its only response will be a rejection."""
+        """Serves an accepted socket.
+
+        Beyond the capacity, its only response is a rejection, unless capacity has become free when its
+        request arrives (`is_over_capacity`).
+        """
         accepted.setblocking(False)
         if self.served_count() >= self.capacity:
             self.evict_idle()
@@ -213,7 +218,7 @@
         task.add_done_callback(self.accept_tasks.discard)
 
     def stop_listening(self) -> None:
-        """Accepts everything in the backlog and closes the listening socket.
+        """Accepts what is in the backlog, as far as the budget allows, and closes the listening socket.
 
         A client that connects between the last accept and the close is reset, so nothing runs in between.
         The backlog of a shared socket is left to the other processes.
@@ -270,6 +275,7 @@
             1, min(MAX_EVICTIONS_PER_PASS, len(self.connections) // EVICTION_DIVISOR)
         )
         closed = 0
+        # More than can be closed, because connections with unread bytes are passed over.
         for connection in nsmallest(
             2 * MAX_EVICTIONS_PER_PASS,
             candidates,
