--- a/loadbalancer/node/client/request.py
+++ b/loadbalancer/node/client/request.py
@@ -44,7 +44,7 @@
         completed_at: The loop time in seconds at which the last byte was read.
         keep_alive: Whether the connection may stay open after the response.
         http_version: The HTTP version without its prefix, for example "1.1".
-        held_bytes: Bytes that count against the body budget while the request is queued or open.
+        held_bytes: Bytes of the head and the held body, which count against the budget until `release`.
     """
 
     __slots__ = (
