--- a/loadbalancer/node/client/request_reader.py
+++ b/loadbalancer/node/client/request_reader.py
@@ -32,11 +32,12 @@
         started_at: The loop time in seconds of the accept or, later, of the incoming request's first byte.
         headers_complete: Whether the head of the incoming request has been received.
         headers_complete_at: The loop time in seconds at which the head was complete.
-        received_bytes: Bytes received of the incoming request.
+        received_bytes: Bytes received of the incoming request, counted in entire slices: bytes of an earlier
+            request in its first slice are included.
         body_bytes: Bytes received of its body.
         request_count: Requests received so far; a request with a streamed body counts when it is dispatched
             and again when it is complete.
-        ended: Whether no further input is read from this client.
+        ended: Whether further input from this client is discarded.
     """
 
     __slots__ = (
