--- a/loadbalancer/node/client/response_head.py
+++ b/loadbalancer/node/client/response_head.py
@@ -29,7 +29,7 @@
 def encode_stream_head(
     headers: bytes, length: int | None, chunked: bool, close: bool
 ) -> bytes:
-    """Encodes the head of a streamed response.
+    """Encodes the head of a streamed response, whose status is always 200.
 
     Args:
         headers: Complete header lines, each with its line end.
