--- a/loadbalancer/node/upstream/attempt.py
+++ b/loadbalancer/node/upstream/attempt.py
@@ -79,7 +79,7 @@
 
         Args:
             timeout_s: Seconds for the entire attempt. None while the request has not been received
-                completely: then only a stalled body ends the attempt.
+                completely: then only the connect timeout or a stalled body ends the attempt.
         """
         if timeout_s is not None:
             self.set_timeout(timeout_s)
@@ -127,7 +127,10 @@
         return sink
 
     def check_stalled(self) -> None:
-        """Ends an attempt whose streamed body has stalled: the client or the server is gone or hung."""
+        """Ends an attempt whose streamed body has stalled: the client or the server is gone or hung.
+
+        An attempt that waits for more of the client's upload is left alone; the client side limits that time.
+        """
         connection = self.connection
         remaining_s = BODY_STALL_TIMEOUT_S
         if connection is not None:
