--- a/loadbalancer/node/upstream/body_buffer.py
+++ b/loadbalancer/node/upstream/body_buffer.py
@@ -16,7 +16,8 @@
 # held body (`is_framing_proportionate`).
 MAX_FRAMING_RATIO = 8
 READ_BUFFER_BYTES = 65_536  # largest single read
-READ_BUFFER_BYTES_AT_LIMIT = 4_096  # largest single read while the budget is exhausted
+# Largest single read while READ_BUFFER_BYTES do not fit the budget.
+READ_BUFFER_BYTES_AT_LIMIT = 4_096
 # A streamed body that makes no progress for this time is abandoned.
 BODY_STALL_TIMEOUT_S = 10.0
 
@@ -24,7 +25,7 @@
 
 
 class BodyBudget:
-    """The memory for bodies of all requests, in both directions.
+    """The memory for request heads, and for bodies in both directions, of all requests.
 
     Attributes:
         max_bytes: Bytes that may be held.
@@ -42,7 +43,7 @@
         return self.held_bytes + size <= self.max_bytes
 
     def next_read_buffer(self) -> memoryview:
-        """The buffer for the next read, which is small while the budget is exhausted.
+        """The buffer for the next read, which is small while READ_BUFFER_BYTES do not fit the budget.
 
         Otherwise hundreds of slow connections could each hold a full read that their other side does not
         accept, and the process would run out of memory.
