--- a/loadbalancer/node/upstream/connection.py
+++ b/loadbalancer/node/upstream/connection.py
@@ -27,7 +27,8 @@
 # Limit for establishing a connection; a lost SYN is resent after 1 s. An attempt waits for it no longer than
 # the pool's `connect_timeout_s`.
 MAX_CONNECT_TIME_S = 2.0
-# Bytes that arrive within this time after a request was written may have been sent before it arrived.
+# Bytes that arrive within this time after a request was written may have been sent before the server received
+# the request.
 CROSSING_WINDOW_S = 0.05
 # After a response, a server may send surplus bytes within this time.
 REUSE_DELAY_S = 0.02
@@ -38,7 +39,7 @@
     """The stage of an upstream connection. It only advances, except between `IDLE` and `BUSY`."""
 
     CONNECTING = "connecting"
-    IDLE = "idle"  # in the pool's idle list, or about to be assigned to an attempt or released by it
+    IDLE = "idle"  # in the endpoint's idle list, or about to be assigned to an attempt or released by it
     BUSY = "busy"  # assigned to an attempt
     CLOSING = "closing"  # closed by this node; still counts against the budget
     CLOSED = "closed"  # no longer counts against the budget
@@ -59,7 +60,7 @@
         response_reader: Parses the response to that attempt.
         upload: The attempt's streamed request body, until it has been written completely.
         idle_since: The loop time in seconds at which the connection last became idle.
-        active_at: The loop time in seconds at which bytes were last received or written.
+        active_at: The loop time in seconds at which bytes were last received or written, or reading resumed.
         write_paused: Whether written bytes are still waiting in this process.
         request_unsent: Whether the server cannot have received the complete request yet.
         request_bytes: Bytes of the request; 0 if its body is streamed.
@@ -266,12 +267,16 @@
             response = self.response_reader.response()
             self.finish(response.outcome(), response, reuse=False)
         else:
-            # Otherwise the event loop would wait until everything is written, although the server no longer
-            # reads, and would only then report the end of the connection.
+            # Without this, the event loop would wait until everything is written, although the server no
+            # longer reads, and would only then report the end of the connection.
             self.fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called when the connection has ended. A reset comes from a crash or the network, not idling."""
+        """Called when the connection has ended.
+
+        The server's idle timeout is learned only from an orderly close (`exc` is None): a reset comes from a
+        crash or the network.
+        """
         if exc is None and self in self.endpoint.idle:
             self.endpoint.record_idle_close(self.pool.loop.time() - self.idle_since)
         self.pool.on_closed(self)
