--- a/loadbalancer/node/upstream/endpoint.py
+++ b/loadbalancer/node/upstream/endpoint.py
@@ -33,10 +33,11 @@
     Args:
         host: The server's host name or address.
         port: The server's port.
-        started: When the server's process started, according to the endpoint list.
+        started: When the server's process started, in microseconds of Unix time, according to the endpoint
+            list; 0 if long ago.
 
     Attributes:
-        started: When the server's process started, according to the endpoint list.
+        started: See the parameter.
         ready: Whether new attempts may use this server.
         connecting: Connections that are being established, the oldest first.
         waiting: Attempts that wait for the next usable connection, the oldest first.
