--- a/loadbalancer/node/upstream/response.py
+++ b/loadbalancer/node/upstream/response.py
@@ -36,7 +36,11 @@
     hit: bytes = b""
 
     def outcome(self) -> Outcome:
-        """The attempt's outcome. A 503 or 504 without the rejection mark may come from a tier behind."""
+        """The attempt's outcome.
+
+        A 503 or 504 without the rejection mark may come from a tier behind the server, so the server may have
+        run the request.
+        """
         if self.status == STATUS_OK:
             return Outcome.OK
         if self.status in OVERLOAD_STATUSES and self.rejected:
