--- a/loadbalancer/node/upstream/response_reader.py
+++ b/loadbalancer/node/upstream/response_reader.py
@@ -230,6 +230,8 @@
     def start_streaming(self) -> None:
         """Starts streaming a response that is too large to hold.
 
+        Does nothing for a status other than 200: the body of such a response is discarded.
+
         Raises:
             UnusableResponseError: There is nowhere to stream it to.
         """
