--- a/loadbalancer/node/requests/deadline_guard.py
+++ b/loadbalancer/node/requests/deadline_guard.py
@@ -69,7 +69,7 @@
     def shorten_deadlines(self, ends_at: int) -> None:
         """Limits the deadlines of all open requests to `ends_at`, the end of the process.
 
-        A server may hang: its client would wait until after SIGKILL, and a request that was accepted long
+        If a server hangs, the client would wait until after SIGKILL, and a request that was accepted long
         before would never be answered. Streamed responses and incomplete requests have no deadline; a request
         gets its deadline when its last byte is received.
 
