--- a/loadbalancer/node/requests/forwarder.py
+++ b/loadbalancer/node/requests/forwarder.py
@@ -53,7 +53,8 @@
         index: Number of earlier attempts of the request.
         server: The endpoint number of the server.
         started_at: When the attempt started, in microseconds of the node's clock.
-        has_waited: Whether the attempt has waited for its connection.
+        has_waited: Whether the attempt has been started and `Attempt.start` has returned: if the request is
+            encoded only then, the attempt has waited for its connection.
     """
 
     __slots__ = (
@@ -251,7 +252,11 @@
         outcome: Outcome,
         load_report: tuple[float, ...],
     ) -> None:
-        """Reports an attempt's outcome to the policy, and whether the request has ended with it."""
+        """Reports an attempt's outcome to the policy, and whether the request has ended with it.
+
+        If a listed server rejected the attempt or could not be reached, the agent is asked whether the
+        endpoint list has changed.
+        """
         node, request = self.node, forwarded.request
         final = request.client is None
         if final:
