--- a/loadbalancer/node/requests/intake.py
+++ b/loadbalancer/node/requests/intake.py
@@ -15,7 +15,7 @@
     from loadbalancer.node.node import Node
 
 READY_PATH = b"/ready"
-MAX_BUDGET_DIGITS = 9
+MAX_BUDGET_DIGITS = 9  # of the X-Budget-Ms header
 # Time after which the node may have capacity again for a client that it rejected.
 OVERLOAD_RETRY_AFTER_US = 500_000
 METHODS_BY_IDEMPOTENCY = {
@@ -154,7 +154,9 @@
             self.reject(client, class_index, rejection)
 
     def request_abandoned(self, client: ClientConnection) -> None:
-        """Handles a client that has disconnected while its request was open.
+        """Handles the end of an open request whose client needs no response from it any more.
+
+        The client has disconnected, or its connection has rejected its further input.
 
         An attempt that still needs the client, to receive the rest of the request or to stream the response,
         cannot continue. One that waits for its connection has not started and would only hold its place in
@@ -215,7 +217,10 @@
         self.open(request, remaining_us)
 
     def open(self, request: OpenRequest, remaining_us: int) -> None:
-        """Hands an accepted request, which has `remaining_us` left, to the policy."""
+        """Hands an accepted request, which has `remaining_us` left, to the policy.
+
+        A feature may do that in place of this method (`Node.on_request`).
+        """
         node, message = self.node, request.message
         node.requests.add(request)
         complete = message.complete
@@ -228,6 +233,8 @@
                 node.balancer.not_replayable, request.id
             )
         repeat = message.headers.get(b"x-again") == b"1"
+        # Without a name, or with one that the settings do not list, a request gets the number after the last
+        # tenant's.
         tenant = self.tenants.get(
             message.headers.get(b"x-caller") or b"", len(self.tenants)
         )
