--- a/loadbalancer/node/requests/open_request.py
+++ b/loadbalancer/node/requests/open_request.py
@@ -139,7 +139,10 @@
     def answer(
         self, request_id: int, status: int, body: bytes = b"", headers: bytes = b""
     ) -> None:
-        """Sends the client its final response. Ignored if the request is answered or its client has gone."""
+        """Sends the client its final response. Ignored if the request is answered or its client has gone.
+
+        A streamed response is completed if `status` is 200; otherwise the connection is reset.
+        """
         request = self.by_id.get(request_id)
         if request is None or request.client is None:
             return
