--- a/loadbalancer/simulator.py
+++ b/loadbalancer/simulator.py
@@ -1,8 +1,8 @@
 """Runs policy instances for the simulator: reads batches of events on stdin, writes actions to stdout.
 
 The module only translates between the wire protocol and the policy; it decides nothing itself. Times on the
-wire are in microseconds, numbers are little-endian. A frame that cannot be parsed ends the process with
-exit status 2 and one line on standard error.
+wire are in microseconds, numbers are little-endian. A batch that cannot be parsed, or that has
+invalid settings, ends the process with exit status 2 and one line on standard error.
 """
 
 from __future__ import annotations
@@ -75,8 +75,8 @@
     """The policy instances of one process.
 
     Instances share nothing but the endpoint lists that the simulator sends once and refers to by number.
-    Each event method parses one event from `body` at `offset`, delivers it to the instance that it names, and
-    returns the offset after it. `now` is the time of the batch in microseconds.
+    Each event method parses one event from `body` at `offset`, which lies behind the event code, applies it,
+    and returns the offset after it. `now` is the time of the batch in microseconds.
 
     Attributes:
         reply: Actions of the current batch, as they go out.
@@ -102,7 +102,8 @@
             The resulting actions, after their length in bytes.
 
         Raises:
-            FrameError: The body does not hold exactly `count` complete events of known codes.
+            FrameError: The body does not hold exactly `count` complete and valid events of known codes.
+            SettingsError: The settings of a CREATE event are invalid.
         """
         self.reply.clear()
         offset = 0
