--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -85,7 +85,7 @@
 
 
 class WireActions:
-    """Encodes one instance's actions into the reply of the process; implements `api.Actions`."""
+    """Encodes one instance's actions into the reply to a batch; implements `api.Actions`."""
 
     __slots__ = ("instance", "reply")
 
@@ -93,7 +93,7 @@
         """Creates an encoder that appends an instance's actions to a reply.
 
         Args:
-            reply: The reply of the process, to which actions are appended.
+            reply: The reply to the current batch, to which actions are appended.
             instance: Number of the instance.
         """
         self.reply = reply
