--- a/loadbalancer/node/client/connection.py
+++ b/loadbalancer/node/client/connection.py
@@ -20,7 +20,9 @@
     from loadbalancer.node.client.listener import ClientListener
     from loadbalancer.node.upstream.body_buffer import BodySource
 
-MAX_PIPELINED_REQUESTS = 8  # complete requests that wait while an earlier one is open
+# Complete requests that wait while an earlier one is open. At this number reading pauses; those that have
+# been read already may exceed it.
+MAX_PIPELINED_REQUESTS = 8
 
 
 class ClientConnection(asyncio.BufferedProtocol):
