--- a/loadbalancer/node/client/hangup_watch.py
+++ b/loadbalancer/node/client/hangup_watch.py
@@ -16,7 +16,7 @@
     """Polls the clients whose reading is paused: the event loop cannot report that they disconnect.
 
     Failure prevented: a client disconnects while its body or its pipelined requests are held back, and its
-    request stays in the queue and is forwarded long afterwards.
+    request stays queued, on the connection or in the policy, and is forwarded long afterwards.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
