--- a/loadbalancer/node/client/eviction.py
+++ b/loadbalancer/node/client/eviction.py
@@ -70,7 +70,7 @@
     Within a rank, the connection that has been inactive longest comes first. Incomplete requests from a
     burst of clients must not occupy the connection table for seconds each. Idle connections must not be
     evicted as fast as clients open new ones: while a node drains and accepts no new connections, a client
-    has no other connection to it.
+    whose connection has been evicted cannot open another one to it.
     """
     reader, active_at = connection.reader, connection.last_active_at
     if reader.incoming is not None:
