--- a/loadbalancer/node/upstream/pool.py
+++ b/loadbalancer/node/upstream/pool.py
@@ -26,6 +26,8 @@
         budget: The memory budget for bodies.
 
     Attributes:
+        idle_limit_s: Seconds after which idle connections are closed, derived from the settings. The limit
+            learned for an endpoint applies if it is shorter.
         hit_header: The lower-case name of the response header that reports cache hits; empty for none.
         reuse_delay_until: The loop time in seconds until which connections are only reused after
             REUSE_DELAY_S.
@@ -131,6 +133,7 @@
         for endpoint in list(self.endpoints_with_idle):
             endpoint.idle_limit_s *= IDLE_LIMIT_GROWTH
             limit_s = min(self.idle_limit_s, endpoint.idle_limit_s)
+            # Connections that would exceed the limit before the next sweep are closed now.
             limit_s = max(limit_s - SWEEP_INTERVAL_S, limit_s / 2)
             while endpoint.idle and now - endpoint.idle[0].idle_since > limit_s:
                 endpoint.idle.pop(0).close()
