--- a/loadbalancer/node/requests/deadline_guard.py
+++ b/loadbalancer/node/requests/deadline_guard.py
@@ -64,6 +64,7 @@
 
     def _fail(self, request: OpenRequest, status: int) -> None:
         self.node.requests.answer(request.id, status)
+        # Ends the request at the policy, as a disconnect of its client does.
         self.node.post(self.node.balancer.client_disconnected, request.id)
 
     def shorten_deadlines(self, ends_at: int) -> None:
