--- a/loadbalancer/node/requests/intake.py
+++ b/loadbalancer/node/requests/intake.py
@@ -159,8 +159,8 @@
         The client has disconnected, or its connection has rejected its further input.
 
         An attempt that still needs the client, to receive the rest of the request or to stream the response,
-        cannot continue. One that waits for its connection has not started and would only hold its place in
-        the queue. Both are cancelled.
+        cannot continue. One that waits for its connection has not been sent and would only hold its place
+        among the attempts that wait for that server. Both are cancelled.
         """
         request = self.node.requests.by_client.get(client)
         if request is None:
