--- a/loadbalancer/simulator_wire.py
+++ b/loadbalancer/simulator_wire.py
@@ -47,7 +47,7 @@
 JOURNAL_LINE_CODE, BAIL_OUT_CODE, LISTEN_CODE, QUERY_ALL_CODE = 73, 74, 75, 76
 
 OK_STATUS = 200  # status of a successful health check or attempt
-# Outcomes of attempts by their status on the wire.
+# Outcomes of attempts by their status on the wire; any other status is an unknown outcome.
 OUTCOMES = {
     OK_STATUS: Outcome.OK,
     502: Outcome.ERROR,
@@ -65,7 +65,7 @@
     ListUpdateKind.CACHED,
     ListUpdateKind.FAILED,
 )
-# Endpoint states by their number on the wire.
+# Endpoint states by their number on the wire; any other number counts as draining.
 STATES = {0: EndpointState.GONE, 1: EndpointState.READY, 2: EndpointState.DRAINING}
 REPEAT_FLAG = (
     2  # bit in the flags of a request (ACCEPT): the client marked it as a retry
