--- a/loadbalancer/node/discovery/call.py
+++ b/loadbalancer/node/discovery/call.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-# A call is late once it owes bytes and has received none for this time.
+# A call is late if no byte arrives for this time after the agent's waiting time (`wait_s`) has ended.
 SILENCE_S = 0.3
 # A call is also late if its answer is incomplete after this time, as when it arrives byte by byte.
 ANSWER_TIMEOUT_S = 2.0
@@ -40,7 +40,7 @@
         since_version: Version of the endpoint list in use when the call was made.
         answers_applied: Number of answers that the client had applied when the call was made.
         transport: The connection; None while there is none.
-        timer: The next check for silence.
+        timer: The next check for silence, or the client's next request on this connection if it is delayed.
         task: The task that opens the connection.
     """
 
@@ -70,7 +70,7 @@
 
         Args:
             path: Path and query of the request.
-            wait_s: Seconds that the agent may wait before it answers; after them the call owes bytes.
+            wait_s: Seconds that the agent may wait before it answers; silence counts only after them.
         """
         host = f"{self.address[0]}:{self.address[1]}"
         self.request_bytes = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
@@ -149,7 +149,7 @@
             self.finish(self.keep_alive)
 
     def eof_received(self) -> None:
-        """Completes an answer that has no length: it ends with its connection, unless by a reset."""
+        """Completes an answer without a length: it ends when the agent closes the connection regularly."""
         unfinished = self.headers_complete and not self.complete and not self.ended
         if unfinished and not self.has_length:
             self.complete = True
@@ -157,7 +157,7 @@
 
     def finish(self, keep_alive: bool) -> None:
         """Delivers a complete answer; a status other than 200 ends the call."""
-        self.cancel_timer()  # the time that the list takes to read does not count
+        self.cancel_timer()  # the time to read the list does not count as silence
         if self.parser.get_status_code() != HTTPStatus.OK:
             self.fail()
             return
--- a/loadbalancer/node/discovery/client.py
+++ b/loadbalancer/node/discovery/client.py
@@ -25,7 +25,7 @@
 WATCH_WAIT_MS = 1_000
 # Shortest interval between two new calls when the first one fails or is answered immediately
 RETRY_INTERVAL_S = 0.1
-AGENT_ANSWER_S = 0.3  # within which a reachable agent answers
+AGENT_ANSWER_S = 0.3  # longest time in which a reachable agent answers
 # Time to wait for the agent's first answer; then the list from the configuration file counts as current.
 STARTUP_WAIT_S = 1.0
 STARTUP_WAIT_LIST_S = 5.0  # the same time if a list is being received or read
@@ -60,8 +60,8 @@
         address: Host and port of the discovery agent.
         version: Version of the list in use; None: nothing has been received from this address, and the watch
             starts with the full list.
-        on_list: Called with each list before the watch is renewed, and with None for a call without a usable
-            answer.
+        on_list: Called with each update, and with None for a call without a usable answer. The watch is
+            renewed after a short update has been delivered, but before the parts of a long list are.
         log: Receives the reasons why answers cannot be used.
 
     Attributes:
@@ -69,7 +69,7 @@
         watch_call: The newest call of the watch.
         fetch_call: The open call for the full list.
         poll_call: The open poll.
-        last_connect_at: Loop time at which the watch last opened a connection, in seconds.
+        last_connect_at: Loop time at which `open_watch` was last called, in seconds.
         next_poll_at: Loop time before which no poll is made, in seconds.
         first_request_at: Loop time of the first request to any address, in seconds.
     """
@@ -168,6 +168,8 @@
     def open_watch(self, wait_ms: int = 0) -> None:
         """Makes a call on a new connection, in addition to the calls that are late.
 
+        If MAX_CALLS are open already, it replaces the one that has been silent for longest.
+
         Args:
             wait_ms: Milliseconds that the agent may wait for a change.
         """
@@ -273,8 +275,9 @@
     def poll_if_due(self) -> None:
         """Asks the agent whether the list has changed, at most once per POLL_INTERVAL_S on average.
 
-        Called when a listed server has rejected a call or could not be reached. If the list has changed, the
-        watch should have reported it: it is broken, and starts again with this call.
+        Called when a listed server has rejected a call or could not be reached, and by features that find the
+        list outdated. If the list has changed, the watch should have reported it: it is broken, and starts
+        again with this call.
         """
         now = self.loop.time()
         if (
--- a/loadbalancer/node/discovery/endpoint_list_codec.py
+++ b/loadbalancer/node/discovery/endpoint_list_codec.py
@@ -89,7 +89,10 @@
 
 
 class Entry(Form, frozen=True):
-    """An entry of the list as discovery sends it; `Line` describes the keys."""
+    """An entry of the list as discovery sends it; `Line` describes the keys.
+
+    Two keys differ from it: `addr` is host:port, and `started_ms` is `Line.started` in milliseconds.
+    """
 
     id: str
     addr: str
--- a/loadbalancer/node/discovery/endpoint_registry.py
+++ b/loadbalancer/node/discovery/endpoint_registry.py
@@ -117,7 +117,7 @@
                 del self.pool.endpoints[number]
 
     def _apply_line(self, number: int, line: Line) -> None:
-        """Applies an entry's address and state; connections to a previous process are not reused."""
+        """Applies an entry's address and state; connections to a server's previous process are not reused."""
         if line.state != EndpointState.READY:
             self.retire(number)
             return
