--- a/loadbalancer/node/lifecycle/process_share.py
+++ b/loadbalancer/node/lifecycle/process_share.py
@@ -21,7 +21,8 @@
     """Returns the number of the node's descriptors that this process may use.
 
     Two processes that each used the node's limits would exceed them together. This process may use all
-    descriptors that a draining sibling no longer holds, since that one accepts no new clients.
+    descriptors that a draining sibling no longer holds, since that one accepts no new clients. If the
+    siblings hold more than their share, it may use only what they leave.
 
     Args:
         total: Number of the node's descriptors, including those that are set aside.
