--- a/loadbalancer/node/admin.py
+++ b/loadbalancer/node/admin.py
@@ -28,7 +28,7 @@
 BACKLOG = 64  # largest number of connections that wait to be accepted
 
 Arguments = dict[str, str]
-# Returns whether the status is 200 or 503, and the JSON object of the response.
+# Returns True for status 200 or False for 503, and the JSON object of the response.
 Page = Callable[[], tuple[bool, dict[str, Any]]]
 # Returns the HTTP status and the JSON object of the response.
 Command = Callable[[Arguments], tuple[int, dict[str, Any]]]
@@ -81,7 +81,10 @@
         self.target += url
 
     def on_message_complete(self) -> None:
-        """Answers the request. An exception in a page or command becomes a 500 response."""
+        """Answers the request.
+
+        A LoadBalancerError in a page or command becomes a 409 response, any other exception a 500 response.
+        """
         try:
             self.dispatch()
         except LoadBalancerError as error:
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -136,7 +136,7 @@
         control: Address of the admin listener for operators; None if there is none.
         accept_fd: Descriptor of the clients' listening socket, if the platform passes it on.
         filed_discovery: The discovery address as the file has it; the environment may override it.
-        filed: The file's contents without keys that are used only at a start.
+        filed: The file's contents without `known`, which is used only at a start.
         seed: Seed of the policy's random numbers.
         connections: Descriptors that clients and servers may use together.
         reserved: Descriptors set aside for everything else.
@@ -345,7 +345,10 @@
 
 
 class NodeSettings(SettingsForm, frozen=True, kw_only=True):
-    """The settings object, with the keys that only a node on sockets needs."""
+    """The settings object, with the keys that only a node on sockets needs.
+
+    `dcs` names the zones, and `kinds` the kinds of servers, by number.
+    """
 
     classes: tuple[NamedClass, ...]
     tenants: tuple[NamedTenant, ...] | None = None
@@ -363,13 +366,13 @@
 
 
 class File(Form, frozen=True, kw_only=True):
-    """The configuration file; `Config` describes its keys."""
+    """The configuration file; `Config` describes its keys, and `Limits` those of `limits`."""
 
     name: str
     listen: str
     discovery: str
     settings: NodeSettings
-    seed: str = "0"
+    seed: str = "0"  # hexadecimal
     # Optional addresses: null, false and "" all mean that there is none
     control: Any = None
     limits: Limits | None = None
--- a/loadbalancer/node/entry_point.py
+++ b/loadbalancer/node/entry_point.py
@@ -1,4 +1,4 @@
-"""Entry point of a node's process; imports no slow modules before signals are blocked."""
+"""Entry point of a node's process; imports no slow modules before SIGHUP is blocked."""
 
 from __future__ import annotations
 
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -329,7 +329,7 @@
     def on_event_failed(
         self, event: PolicyEvent, args: tuple[Any, ...], error: Exception
     ) -> None:
-        """Logs an exception of the policy, and answers 500 to the request that the event concerned."""
+        """Logs an exception of the policy; answers 500 if the event was a request or an attempt's outcome."""
         self.log_lines.line(
             f"policy event failed event={event.__name__} reason={type(error).__name__}: {error}"
         )
@@ -370,7 +370,10 @@
     # ---- actions of the policy -----------------------------------------------------------------------
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Starts the request's next attempt; one that may not be sent ends as NOT_SENT after this event."""
+        """Starts the request's next attempt, which may take `timeout` microseconds.
+
+        One that may not be sent ends as NOT_SENT after this event.
+        """
         self.forwarder.send(request, server, timeout)
 
     def cancel(self, request: int, attempt: int) -> None:
@@ -378,7 +381,7 @@
         self.forwarder.cancel(request, attempt)
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Answers 503 and advises the client when to retry."""
+        """Answers 503 and advises the client to retry after `retry_after` microseconds, if above 0."""
         self.requests.answer(request, 503, headers=retry_after_header(retry_after))
 
     def fail(self, request: int) -> None:
--- a/loadbalancer/node/udp.py
+++ b/loadbalancer/node/udp.py
@@ -37,7 +37,7 @@
         super().__init__(largest)
         self.listen = listen
         self.transport: Any = None  # an asyncio.DatagramTransport
-        self._send_errors = 0  # errors that the socket has reported
+        self._send_errors = 0  # errors that the socket has raised or reported
         self._receive_drops = 0  # datagrams dropped because the receive buffer was full
 
     async def open(self, received: DatagramReceiver) -> Address:
