--- a/loadbalancer/membership/anti_entropy.py
+++ b/loadbalancer/membership/anti_entropy.py
@@ -63,7 +63,7 @@
         self._comparison: PendingComparison | None = None
         # Whether this member knew no others when it sent its last request.
         self._requested_without_members = True
-        # The tables sent so far use up the budget until then.
+        # Time until which the tables sent so far use up the budget; it may be ahead of now by the burst.
         self._budget_spent_until_us = 0
 
     def schedule_after_join(self) -> None:
--- a/loadbalancer/membership/rejoin.py
+++ b/loadbalancer/membership/rejoin.py
@@ -1,4 +1,7 @@
-"""Rejoin after a partition: dead members are probed, and lost addresses are asked for a sync."""
+"""Rejoin after a partition: dead members are probed, and lost addresses are asked for a sync.
+
+A lost address is that of a seed that is not live, or of a dead member that has been removed.
+"""
 
 from __future__ import annotations
 
@@ -80,7 +83,7 @@
     ) -> list[SendDatagram]:
         """Requests a sync from a member that is marked dead but sends datagrams, as after a partition.
 
-        Each side then notifies its own members of those that the other side has marked dead, and these
+        Each side then notifies those of its own members that the other side has marked dead, and these
         refute: one exchange rejoins both sides. The rate of the requests is limited.
         """
         context = self._context
--- a/loadbalancer/membership/settings.py
+++ b/loadbalancer/membership/settings.py
@@ -12,14 +12,16 @@
 # No update encodes in fewer than 16 bytes.
 MAX_UPDATES_PER_DATAGRAM = MAX_DATAGRAM_BYTES // 16
 
-# Probe periods until the next sync after a join, while no member is alive, or with a dead sender.
+# Probe periods until the next sync after a join, while no member is alive, or with a dead sender; also the
+# constant part of the time in which gossip should have delivered an update.
 SYNC_PERIODS = 5
 DEAD_PROBE_PERIODS = 5  # probe periods between two probes of dead members
 FORGET_INTERVAL_US = 10_000_000  # between two removals of members that have stayed dead
 # Added to the time in which gossip should have delivered an update, for each live member.
 GOSSIP_DELAY_PER_MEMBER_US = 5_000
 
-# Budgets that all members of one side of a partition share: each member draws whether it acts.
+# Budgets that all members of one side of a partition share: each member draws whether it acts. A round is
+# the time between two probes of dead members (DEAD_PROBE_PERIODS).
 REJOIN_INTERVAL_US = 1_000_000  # between two sync requests to lost seeds and addresses
 DEAD_PROBES_PER_ROUND = 8  # probes of each dead member in each round
 # Minimum probes by each member in a round: it may be the only one that considers some member dead.
@@ -51,7 +53,7 @@
             dead.
         min_suspicion_periods: Minimum time of a suspicion in probe periods, times log10(members).
         max_suspicion_ratio: Time of an unconfirmed suspicion as a multiple of the minimum.
-        retransmit_ratio: Number of datagrams that carry an update, times log10(members + 1).
+        retransmit_ratio: Number of datagrams that carry an update, times log10(members + 1), rounded up.
         max_local_health: Local health at which periods and timeouts are stretched most (Lifeguard).
         sync_interval_us: Time between two table exchanges of one member while tables agree.
         sync_members: In clusters above this size the interval grows in proportion to the size, so that the
--- a/loadbalancer/membership/suspicion.py
+++ b/loadbalancer/membership/suspicion.py
@@ -18,8 +18,8 @@
         start_us: When the time to refute started.
         confirmers: Names of members that suspect it because of their own probes.
         is_own: Whether this member's own probe failed; if not, the suspicion is known only by gossip.
-        deadline_us: When the suspect is declared dead (own suspicions only).
-        check_us: When a suspect that is known only by gossip is probed.
+        deadline_us: When the suspect of an own suspicion is declared dead.
+        check_us: When a suspect that is known only by gossip is probed, unless `deadline_us` is earlier.
         next_ping_us: When the suspect of an own suspicion is pinged again, once in each probe period.
         sequence: Sequence number of that ping.
         not_before_us: Lower bound of the deadline.
--- a/loadbalancer/membership/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -14,8 +14,8 @@
 Two rules are not part of these protocols; they make it unlikely that a pause or loss becomes a death. First,
 a relay that got no answer sends a nack, which counts as a confirmation, since the relay has probed the target
 itself. Second, no member declares a death on reports alone: a member whose own probe failed pings the suspect
-again in each period, while one that knows the suspicion only by gossip waits for one gossip round and then
-probes the suspect itself.
+again in each period, while one that knows the suspicion only by gossip waits for one gossip round, or less if
+others confirm the suspicion, and then probes the suspect itself.
 
 If datagrams are lost in one direction only, both members stay alive, since indirect probes pass. The member
 that reaches another only through other members reports it with `reach == "indirect"`. A member that cannot be
--- a/loadbalancer/membership/transitions.py
+++ b/loadbalancer/membership/transitions.py
@@ -1,7 +1,8 @@
 """Transitions of members' states: which report about a member overrides what is known about it.
 
 The order is that of SWIM. A higher incarnation wins. At the same incarnation left and dead win over suspect,
-and suspect wins over alive. Only the member itself raises its incarnation, to refute a report of its death.
+and suspect wins over alive. Only the member itself raises its incarnation: to refute a report that it is
+suspected, dead or at another address, and to leave.
 """
 
 from __future__ import annotations
