--- a/loadbalancer/records/queues.py
+++ b/loadbalancer/records/queues.py
@@ -13,7 +13,7 @@
     """Owners whose entries are still to be sent, with the remaining transmissions of each, oldest first.
 
     Args:
-        retransmissions: How often an entry is pushed, and then sent with exchanges.
+        retransmissions: Number of pushes of an entry, and then of exchanges that carry it.
 
     Attributes:
         pushed: Owner keys of entries with new records, which are pushed.
--- a/loadbalancer/records/rules.py
+++ b/loadbalancer/records/rules.py
@@ -10,6 +10,7 @@
     MAX_DATAGRAM_BYTES,
 )
 
+# 20 bytes are reserved for the encoding around the entries and the bucket checksums.
 MAX_ENTRIES_PER_DIGEST = (
     MAX_DATAGRAM_BYTES - 20 - BUCKET_CHECKSUMS_LAYOUT.size
 ) // ENTRY_LAYOUT.size
@@ -30,7 +31,7 @@
     Attributes:
         push_interval_us: Minimum time between two pushes of new entries.
         push_fanout: Number of members that receive each push.
-        retransmissions: How often an entry is pushed, and then sent with exchanges.
+        retransmissions: Number of pushes of an entry, and then of exchanges that carry it.
         exchange_interval_us: Time between two exchanges, each with one random member.
         heartbeat_us: Minimum time between two heartbeats of an owner.
         heartbeat_per_member_us: Time between two heartbeats for each member; it applies where it gives more
--- a/loadbalancer/records/state.py
+++ b/loadbalancer/records/state.py
@@ -128,7 +128,7 @@
         entry: The highest entry that agrees with the stored records.
         packed_entry: The same entry as it is sent, see `pack_entry`.
         records: Stored records by kind.
-        advanced_at_us: When the entry last rose, in monotonic microseconds.
+        advanced_at_us: When the entry last rose, in monotonic microseconds; not kept for this node itself.
         dead_since_us: When the owner stopped being live; None while it is live.
         records_checksum: Checksum over all stored records, 32 bits.
         fetch: The fetch in progress, if any.
--- a/loadbalancer/records/table.py
+++ b/loadbalancer/records/table.py
@@ -60,7 +60,7 @@
         peers: Names of the live members without this one, sorted.
         addresses: Addresses of the peers by name.
         full_exchanges_left: Exchanges that are still to request the entries of all owners.
-        layout_digest: The layout that selects the members; empty if all members are in one group.
+        layout_digest: Digest of the layout that selects the members; empty if all members are in one group.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
         """Prepares for a change of the members to those that another layout selects.
 
         This node's records are withdrawn from the previous members, and some of these are notified at once.
-        From now on records of owners that follow another layout are not returned: updates of such an owner
+        With a layout, records of owners that follow another one are not returned: updates of such an owner
         reach this node rarely, through the few nodes that still count it as a member, so decisions about it
         would be based on old records.
 
