--- a/loadbalancer/config/operator_config.py
+++ b/loadbalancer/config/operator_config.py
@@ -113,8 +113,9 @@
         spill_limit_percent: Fraction of a zone's capacity that calls from all other zones may use together.
         panic_below_percent: Below this fraction of healthy servers, no server is avoided.
         panic_until_percent: Panic ends once this fraction of the servers is healthy.
-        return_s: Seconds over which a recovered zone gets its calls back; doubled with each loss.
-        calm_s: Seconds without a loss after which earlier losses are forgotten.
+        return_s: Seconds over which a zone gets its calls back after its first loss; doubled with each
+            further loss, up to a maximum.
+        calm_s: Seconds without a loss of the zone after which its earlier losses are forgotten.
         server_requests_per_s: Calls per second that one warm server can take; 0: learned from the calls that
             servers handled without overload.
     """
@@ -295,8 +296,8 @@
 
     Attributes:
         count: Number of cells; there is no default.
-        label: "-": a cell holds complete services, by the node's name up to its last "-". Empty: a cell is a
-            sample of all nodes.
+        label: Separator, such as "-": a cell holds complete services, by the node's name up to its last
+            separator. Empty: a cell is a sample of all nodes.
         collectors: Names of the nodes that sum up the reports of all cells; empty: cells report to no node.
     """
 
@@ -385,10 +386,13 @@
         numbering: Name of the discovery service whose version numbers the agents report, where each node has
             its own agent; empty: the agent's address. It has to change when discovery moves.
         agents: Addresses of further agents that an outdated node asks.
-        from_peers: Whether an outdated node then accepts from its peers the version that a quorum holds.
-        flush_s: Seconds between two writes of the ledger; a kill loses no more than these.
+        from_peers: Whether an outdated node accepts from its peers the version that a quorum holds, after its
+            own and the further agents have not helped.
+        flush_s: Seconds between two writes of the ledger, longer while writes are slow; a kill loses no more
+            than the entries since the last write.
         lag_s: A node that is behind the quorum's version for this many seconds is a straggler.
-        silence_s: Seconds of silence for which a node waits for its own discovery agent.
+        silence_s: Seconds since the last answer of its own discovery agent for which an outdated node waits
+            for this agent before it asks others.
         hold_s: A straggler counts as current after it has held the frontier for this many seconds.
         out_after_s: A node that remediation has not helped may be quarantined after this many seconds behind.
         out_share_percent: Largest fraction of the known nodes in quarantine at a time; 0: quarantine is off.
@@ -439,8 +443,9 @@
         alone_s: By kind of change, the seconds without a coordinator after which it proceeds without a grant.
         never_alone: Kinds of change that never proceed without a grant.
         evidence: Whether reports of most nodes open incidents.
-        zone_fails_percent: Fraction of a zone's servers that must be reported as failing.
-        refused_percent: Fraction of attempts that servers must reject.
+        zone_fails_percent: A zone fails, as evidence, if at least this fraction of its servers fails.
+        refused_percent: Servers are overloaded, as evidence, if they reject at least this fraction of
+            attempts.
         evidence_hold_s: Seconds for which the evidence has to last before an incident is opened.
         evidence_quiet_s: Seconds without the evidence after which the incident is closed.
         evidence_severity: Severity of such an incident, 1 to 3.
@@ -684,7 +689,7 @@
     "shards": ShardsTable,
     "forecast": ForecastTable,
 }
-# By table, the keys that an environment variable LB_<TABLE>_<KEY> overrides.
+# By table, the keys that an environment variable LB_<TABLE>_<KEY> overrides if the file has the table.
 OVERRIDABLE_KEYS = {"membership": ("listen", "advertise"), "store": ("path",)}
 
 
@@ -692,7 +697,7 @@
     """Reads an operators' file.
 
     Several nodes of a machine can share one file: `LB_MEMBERSHIP_LISTEN`, `LB_MEMBERSHIP_ADVERTISE` and
-    `LB_STORE_PATH` override its values.
+    `LB_STORE_PATH` override its values, where it has the table.
 
     Args:
         path: Path of the file.
--- a/loadbalancer/config/platform_settings.py
+++ b/loadbalancer/config/platform_settings.py
@@ -139,7 +139,7 @@
 
     Attributes:
         cold: Microseconds after its start at which a server is warm.
-        start_capacity: Fraction of its capacity that a server has at its start, or more.
+        start_capacity: Fraction of its capacity that a server has at least when it starts.
         fall_multiple: A server that is sent more than this multiple of its present capacity is overloaded.
         tip_after: Microseconds of such overload after which it fails.
         ask_within: Longest time between two polls of the endpoint list in microseconds.
@@ -191,7 +191,8 @@
         discovery: "ask" if the endpoint list has to be polled.
         weights: "off" or absent if the endpoint list has no weights.
         deductions: Costs that the platform deducts from a response's value.
-        over_share_worth: Value of a request over its tenant's quota, as a fraction; absent: 1.
+        over_share_worth: Value of a request over its tenant's quota, as a fraction of its regular value;
+            absent: 1.
         report: The load reports of servers.
     """
 
