--- a/loadbalancer/node/discovery/endpoint_list_codec.py
+++ b/loadbalancer/node/discovery/endpoint_list_codec.py
@@ -55,7 +55,7 @@
         host: Host of its address.
         port: Port of its address.
         zone: Name of its zone; may be empty.
-        kind: Name of its kind; may be empty.
+        kind: Name of its kind of machine; may be empty.
         cell: Number of its cell.
         state: Whether it accepts calls.
         weight: Its weight; 1 if discovery sends none.
--- a/loadbalancer/node/effective_settings.py
+++ b/loadbalancer/node/effective_settings.py
@@ -17,7 +17,8 @@
 
     Args:
         settings: The file's settings.
-        sibling_count: Number of the node's other processes; the limit on open requests is divided among all.
+        sibling_count: Number of the node's other processes; each counts as an instance, and the limit on
+            calls in flight (`max_open_requests`) is divided among all.
         ring: The ring position in force and the number of positions; None: those of the settings.
         min_subset_size: Smallest subset that a feature requests, in servers; 0: no request.
     """
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -244,7 +244,7 @@
         """Applies a new configuration now; connections, requests and all learned state stay.
 
         Changes that require a restart are named in the log. Open requests keep the settings under which they
-        arrived: their classes keep their numbers, and their attempts count against the old limit.
+        arrived: their classes keep their numbers, and the old `max_attempts` limits their attempts.
         """
         old = self.config
         in_use = {request.class_index for request in self.requests.values()}
