--- a/loadbalancer/membership/failure_detector.py
+++ b/loadbalancer/membership/failure_detector.py
@@ -237,9 +237,9 @@
         if probe.is_acked:
             self._context.adjust_local_health(-1)
             return
-        # Lifeguard counts a failed probe against the local health of the prober, and relays that did not even
-        # send a nack as well. If one relay did, this member can receive and is not isolated: half of all
-        # members may really have died at once.
+        # Lifeguard counts a failed probe against the local health of the prober, and more if relays were
+        # asked and none sent even a nack. If one relay did, this member can receive and is not isolated, so
+        # nothing is counted: half of all members may really have died at once.
         if not probe.nacks:
             self._context.adjust_local_health(+2 if probe.relay_count else +1)
         target = self._context.table.members.get(probe.target)
--- a/loadbalancer/membership/rejoin.py
+++ b/loadbalancer/membership/rejoin.py
@@ -95,7 +95,8 @@
             or context.now_us < self._next_rejoin_sync_us
         ):
             return []
-        # A sync carries the table anyway. Otherwise all members of a side share one budget of requests.
+        # A sync leads to an exchange of tables anyway. For other datagrams, all members of a side share one
+        # budget of requests.
         is_sync = isinstance(envelope.message, Sync)
         if is_sync or not self._draw_turn(
             REJOIN_SYNCS_PER_ROUND, context.table.live_count
--- a/loadbalancer/membership/settings.py
+++ b/loadbalancer/membership/settings.py
@@ -51,7 +51,8 @@
             confirmations that shortens a suspicion to its minimum.
         pause_tolerance_us: Minimum time of a suspicion, so that a process paused for less is not declared
             dead.
-        min_suspicion_periods: Minimum time of a suspicion in probe periods, times log10(members).
+        min_suspicion_periods: Minimum time of a suspicion in probe periods, times log10(members) for at least
+            10 members.
         max_suspicion_ratio: Time of an unconfirmed suspicion as a multiple of the minimum.
         retransmit_ratio: Number of datagrams that carry an update, times log10(members + 1), rounded up.
         max_local_health: Local health at which periods and timeouts are stretched most (Lifeguard).
--- a/loadbalancer/membership/swim.py
+++ b/loadbalancer/membership/swim.py
@@ -246,8 +246,8 @@
     def _apply_updates(self, envelope: MembershipEnvelope) -> None:
         """Applies the updates of a datagram in their order.
 
-        A death that may have been observed from the other side of a partition counts as a suspicion here, so
-        that the member is probed first. Such a death of an unknown member is ignored.
+        A death in a sync, or one that may have been observed from the other side of a partition, counts as a
+        suspicion here, so that the member is probed first. Such a death of an unknown member is ignored.
         """
         is_sync = isinstance(envelope.message, Sync)
         for update in envelope.updates:
