--- a/loadbalancer/records/own_records.py
+++ b/loadbalancer/records/own_records.py
@@ -46,7 +46,7 @@
         self.fetches = fetches
         self.counters = counters
         self.withdraw_after_us = withdraw_after_us
-        self.written_kinds: set[str] = set()
+        self.written_kinds: set[str] = set()  # by this incarnation
         self.withdraw_at_us: dict[str, int] = {}  # by kind of an earlier incarnation
 
     def put(self, kind: str, body: bytes, now_us: int) -> bool:
