--- a/loadbalancer/membership/rejoin.py
+++ b/loadbalancer/membership/rejoin.py
@@ -1,4 +1,7 @@
-"""Rejoin after a partition: dead members are probed, and lost addresses are asked for a sync."""
+"""Rejoin after a partition: dead members are probed, and lost addresses are asked for a sync.
+
+A lost address is that of a seed that is not live, or of a dead member that has been removed.
+"""
 
 from __future__ import annotations
 
@@ -80,7 +83,7 @@
     ) -> list[SendDatagram]:
         """Requests a sync from a member that is marked dead but sends datagrams, as after a partition.
 
-        Each side then notifies its own members of those that the other side has marked dead, and these
+        Each side then notifies those of its own members that the other side has marked dead, and these
         refute: one exchange rejoins both sides. The rate of the requests is limited.
         """
         context = self._context
@@ -92,7 +95,8 @@
             or context.now_us < self._next_rejoin_sync_us
         ):
             return []
-        # A sync carries the table anyway. Otherwise all members of a side share one budget of requests.
+        # A sync leads to an exchange of tables anyway. For other datagrams, all members of a side share one
+        # budget of requests.
         is_sync = isinstance(envelope.message, Sync)
         if is_sync or not self._draw_turn(
             REJOIN_SYNCS_PER_ROUND, context.table.live_count
