--- a/loadbalancer/node/features/feature.py
+++ b/loadbalancer/node/features/feature.py
@@ -2,8 +2,8 @@
 
 A feature is off unless the operator configuration has its table. The feature host creates it from the entry
 in `registry.py` and passes the node's events to it. A feature makes no decisions itself: it runs a pure state
-machine. Adding a feature needs no change to the node. Where `policy_limits.peers` is false, features that
-communicate with other nodes are not even imported.
+machine. Adding a feature needs no change to the node. Where the platform's settings have
+`policy_limits.peers` false, features that communicate with other nodes are not even imported.
 
 Order of calls: `start`, then any of the other methods on the node's event loop, then `stop` once. A feature
 that raises an exception is stopped and named in the log; the node continues without it.
@@ -213,8 +213,8 @@
         Args:
             change: Kind of the change.
             scope: What the change affects: empty for everything, or `tier=`, `region=`, `zone=`, `server=`,
-                `class=`, joined by commas. The node's name is replaced by its tier and zone: the scope of a
-                change that affects this node only.
+                `class=`, joined by commas. The node's own name is also accepted, for a change that affects
+                this node only; it stands for the node's tier and zone.
             then: Called once, with the first rejection, or with an approval if no feature rejects.
         """
 
