--- a/loadbalancer/node/features/audit.py
+++ b/loadbalancer/node/features/audit.py
@@ -1,4 +1,4 @@
-"""Feature `[audit]`: the node's ledger, its view of the fleet, and its remediation when it is outdated.
+"""Feature `[audit]`: the ledger, the view of the fleet, and the remediation of a node that is outdated.
 
 The package `loadbalancer.audit` makes the decisions. This module supplies the clock, the store's log, the
 members' records, the channel to their audits and the calls to other discovery agents. It is imported only
@@ -134,7 +134,7 @@
         self.flush()
 
     def reload(self, operator_config: OperatorConfig) -> None:
-        """Applies a new operator configuration; remediations under way continue."""
+        """Applies a new operator configuration; remediations under way continue, unless `[cells]` changed."""
         previous_numbering = self.context.table.numbering
         if operator_config.cells != self._cells:
             self._leave_cell()
@@ -146,10 +146,11 @@
             self.on_version(version)
 
     def _leave_cell(self) -> None:
-        """Discards what was observed, requested and voted in the previous cell, because the cell has changed.
+        """Discards what was observed, requested and voted in the previous cell.
 
-        The audit continues as after a start: it evaluates no member and votes on no quarantine until it has
-        observed the new cell.
+        Called for any change of the table `[cells]`, as the node's cell may be another one. The audit
+        continues as after a start: it evaluates no member and votes on no quarantine until it has observed
+        the new cell.
         """
         if self.runner.quarantined:
             self.runner.rejoin("another cell")
