--- a/loadbalancer/node/features/audit_context.py
+++ b/loadbalancer/node/features/audit_context.py
@@ -114,7 +114,9 @@
         self.view = None
 
     def deadline_age_s(self, now: int) -> float | None:
-        """Returns the seconds since the deadline of discovery; negative before it, None without one.
+        """Returns the seconds since the end of the wait for this node's own discovery.
+
+        The result is negative before that time, and None if there has been no such wait.
 
         Args:
             now: Monotonic microseconds.
