--- a/loadbalancer/node/features/audit_endpoints.py
+++ b/loadbalancer/node/features/audit_endpoints.py
@@ -82,7 +82,10 @@
         self._adopted |= {line.id: line for line in lines}
 
     def difference(self, other: list[Line]) -> ListDifference:
-        """Returns the changes that lead from this node's list to `other`, in the order of `other`."""
+        """Returns the changes that lead from this node's list to `other`.
+
+        Draining and added endpoints are in the order of `other`, removed ones in that of this node's list.
+        """
         listed = {line.id for line in other}
         current = {
             name: line
