--- a/loadbalancer/node/features/audit_ledger.py
+++ b/loadbalancer/node/features/audit_ledger.py
@@ -1,6 +1,7 @@
 """Keeps the audit's ledger in the node's store: restores it at the start, and writes it in batches.
 
-A write blocks the event loop, once every `flush_s`; the metrics show the last and the longest duration.
+A write blocks the event loop, at most once every `flush_s`; the metrics show the last and the longest
+duration.
 """
 
 from __future__ import annotations
@@ -54,7 +55,7 @@
         self.open()
 
     def open(self) -> None:
-        """Opens the ledger's log, and continues the ledger from its end, with all that was counted meanwhile.
+        """Opens the log, and continues the ledger from the log's end with all that was counted meanwhile.
 
         If the store is not available, `flush` tries again: in an upgrade the previous process keeps it locked
         until it exits.
