--- a/loadbalancer/node/features/audit_status_exchange.py
+++ b/loadbalancer/node/features/audit_status_exchange.py
@@ -25,7 +25,7 @@
 
 
 class LedgerLength(NamedTuple):
-    """The length of a member's ledger, ordered by incarnation and entries; it never decreases."""
+    """The length of a member's ledger, ordered by incarnation and entries; it must not decrease."""
 
     incarnation: int
     entries: int
