--- a/loadbalancer/node/features/cache_observer.py
+++ b/loadbalancer/node/features/cache_observer.py
@@ -36,8 +36,8 @@
 class CacheObserver:
     """One node's observations of its servers' caches.
 
-    Times are by the node's clock (`Node.now`), in microseconds. Hits are also counted over a span, which
-    forecasts are compared with.
+    Only successful attempts at requests with a shard key are counted. Times are by the node's clock
+    (`Node.now`), in microseconds. Hits are also counted over a span, which forecasts are compared with.
 
     Attributes:
         sample: The sample of requested keys.
@@ -55,7 +55,7 @@
         self.hit_duration, self.miss_duration = AnswerDuration(), AnswerDuration()
 
     def add(self, end: AttemptEnd) -> None:
-        """Counts a finished attempt; called on the request path, for every attempt."""
+        """Counts a successful attempt with a key; called on the request path, for every attempt."""
         if not end.shard_key or end.outcome != Outcome.OK:
             return
         self.sample.add(key_position(end.shard_key))
@@ -73,7 +73,7 @@
         self.span_started_at = now
 
     def rate(self, now: int) -> float:
-        """Returns the requests with keys per second that this node sends."""
+        """Returns the successful requests with keys per second that this node sends."""
         window = self.sample.current
         return window.requests / max(1.0, (now - window.started_at) / US_PER_S)
 
