--- a/loadbalancer/node/features/cells.py
+++ b/loadbalancer/node/features/cells.py
@@ -60,7 +60,7 @@
 SUMMARY_CACHE_US = 500_000  # how long a collector reuses a summary that it has computed
 # Minimum time between two log lines with the same rejection reason.
 LOG_INTERVAL_US = 60_000_000
-# Each period lasts between 0.75 and 1.25 times the configured period.
+# Each period lasts between 0.75 and 1.25 times `CollectorRules.period_us`.
 JITTER_BASE_RATIO, JITTER_SPAN_RATIO = 0.75, 0.5
 SEED_BITS = 32  # size of the discovery poller's random seed
 MAX_ORIGIN_CHARS = 64  # a longer name of a discovery is truncated
@@ -146,7 +146,7 @@
             self.schedule()
 
     def stop(self, graceful: bool) -> None:
-        """Stops the periodic reports and withdraws this node's record."""
+        """Stops the periodic reports; withdraws this node's record, unless the process is stopping."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -376,7 +376,10 @@
         }
 
     def pages(self) -> dict[str, AdminPage]:
-        """Returns `/admin/cells`: healthy while the fleet's summary is known and no cell is unreachable."""
+        """Returns `/admin/cells`: healthy while the fleet's summary is known and no cell is unreachable.
+
+        Without configured collectors it is always healthy.
+        """
         return {"/admin/cells": self.page}
 
     def page(self) -> tuple[bool, dict[str, Any]]:
