--- a/loadbalancer/node/features/change_forecaster.py
+++ b/loadbalancer/node/features/change_forecaster.py
@@ -47,7 +47,8 @@
     Attributes:
         config: The table `[forecast]` in force.
         accuracy: The accuracy of past forecasts.
-        ring_positions: Ring positions by node name, as they were before the last change of the members.
+        ring_positions: Ring positions by node name, as last stored: at the first report, and whenever this
+            node has made a placement change.
         latest: The last forecast that was computed, including one withheld for low accuracy.
     """
 
@@ -63,7 +64,7 @@
         self.accuracy = ForecastAccuracy()
         self.ring_positions: dict[str, RingPosition] = {}
         self.latest: Forecast | None = None
-        # The last forecast's digest, for the drift.
+        # The last forecast's digest, for the drift, and when it was taken, in microseconds of `Node.now`.
         self._last_digest: KeyDigest | None = None
         self._last_digest_at = self.node.now()
 
@@ -152,6 +153,12 @@
     ) -> SlicedWork[tuple[ShardTraffic, ShardTraffic, int] | None]:
         """Computes each shard's traffic before and after the change.
 
+        Args:
+            kind: The kind of change.
+            entries: All servers after the change.
+            new: Numbers of the servers that the change adds.
+            nodes: The names of the live nodes, sorted, and their merged key reports.
+
         Returns:
             The traffic before and after, and the number of shards after the change, by which both are
             divided; None if this number is not a multiple of the number before.
@@ -256,7 +263,10 @@
         return self.observer.tolerable_misses(fleet_limit, rate, servers, hit_ratio)
 
     def _silent_fraction(self, reports: dict[str, NodeKeyReport]) -> float:
-        """Returns the fraction of nodes without a report, assuming that all cells are like this one."""
+        """Returns the fraction of nodes without a report, as an estimate of their fraction of the requests.
+
+        All cells are assumed to be like this one.
+        """
         cell_size = len(self.host.cell_members())
         return max(0.0, 1 - len(reports) / cell_size)
 
