--- a/loadbalancer/node/features/freeze_calls.py
+++ b/loadbalancer/node/features/freeze_calls.py
@@ -74,7 +74,8 @@
         self.feature = feature
         self.outcomes: dict[str, RequestOutcome] = {}
         self._requests: set[str] = set()  # ids of requests; other ids are commands
-        self._retry_at: dict[str, int] = {}  # by id, earliest time in us
+        # By id, the earliest time of the next request, in monotonic microseconds.
+        self._retry_at: dict[str, int] = {}
 
     def by_path(self) -> dict[str, Callable[[dict[str, str]], CallResult]]:
         """Returns the calls by path of the admin server."""
