--- a/loadbalancer/node/features/known_endpoints.py
+++ b/loadbalancer/node/features/known_endpoints.py
@@ -1,9 +1,9 @@
 """Tracks the endpoint list that this node's own discovery sent, and merges lines from peers into it.
 
-The list is tracked while a feature subscribes to list updates. It maps endpoint numbers to names, computes a
-digest of the complete list (nodes with the same content compute the same digest), and holds the lines that
-were merged from peers. Lines from peers are accepted in the safe direction only: an endpoint starts to drain
-or departs, or an endpoint that this node has never listed is added as warming up.
+The list is tracked while a feature follows versions, list updates or attempts. It maps endpoint numbers to
+names, computes a digest of the complete list (nodes with the same content compute the same digest), and holds
+the lines that were merged from peers. Lines from peers are accepted in the safe direction only: an endpoint
+starts to drain or departs, or an endpoint that this node has never listed is added as warming up.
 """
 
 from __future__ import annotations
