--- a/loadbalancer/node/features/lifecycle.py
+++ b/loadbalancer/node/features/lifecycle.py
@@ -76,8 +76,8 @@
             for table, waiting in self._waiting.items()
             if table in tables
         }
-        # Followers are updated once, after all restarts: otherwise the host would drop the versions and the
-        # endpoint list that it knows whenever the last follower is restarted.
+        # Followers (see `NodeEvents`) are updated once, after all restarts: otherwise the host would drop the
+        # versions and the endpoint list that it knows whenever the last follower is restarted.
         self.is_reconciling = True
         for table in reversed(list(self.features)):
             if table not in tables:
