--- a/loadbalancer/node/features/node_events.py
+++ b/loadbalancer/node/features/node_events.py
@@ -1,7 +1,7 @@
 """Passes events of the node to its features: updates of the endpoint list, and ended attempts.
 
-Events that no feature follows cost nothing: the node has a callback only while some feature overrides the
-corresponding method.
+Events that no feature follows cost next to nothing: the node has a callback for attempts only while some
+feature overrides `on_attempt_end`, and without followers an update of the list is returned unchanged.
 """
 
 from __future__ import annotations
