--- a/loadbalancer/node/features/shards.py
+++ b/loadbalancer/node/features/shards.py
@@ -75,10 +75,14 @@
         config: The table `[shards]` in force.
         table: The table of random draws for the number of shards in force.
         router: Selects each shard's replicas among the members of the subset.
-        weights: Servers' weights from the endpoint list, by number; empty if they are not comparable.
+        weights: Servers' weights from the endpoint list, by number; recorded only while the settings declare
+            them comparable (`list_weights`).
         listed: Numbers of the servers that are listed as ready.
         first_list_complete: Whether the first endpoint list has been received completely.
-        joined_at: Time, in microseconds, when a server was listed after the first list, by number.
+        joined_at: Time when a server was listed after the first list, by number, in microseconds of the
+            node's clock (`Node.now`).
+        key_locations: Where a request's key is, by class name: the index of a segment of the path, and the
+            name of a header, which is used instead unless it is empty.
     """
 
     name = "shards"
