--- a/loadbalancer/node/features/version_announcer.py
+++ b/loadbalancer/node/features/version_announcer.py
@@ -27,7 +27,7 @@
 
 
 class VersionAnnouncer:
-    """Announces versions to all features while at least one feature subscribes to versions.
+    """Announces versions to all features while at least one of them is a follower (see `NodeEvents`).
 
     Attributes:
         in_force: The last version announced, by source.
@@ -46,7 +46,7 @@
             self.host.run_guarded(feature, feature.on_version, version)
 
     def restart(self) -> None:
-        """Announces all versions in force, when the first feature that subscribes to versions starts."""
+        """Announces all versions in force, when there is a follower after there was none."""
         self.in_force.clear()
         self._announce_program()
         self.announce_settings(self.host.node.config)
