--- a/loadbalancer/node/features/weight_updates.py
+++ b/loadbalancer/node/features/weight_updates.py
@@ -2,7 +2,7 @@
 
 The decisions are made in `loadbalancer.spread`; this module provides the clock, the records and the node's
 event loop, on which weights are computed in slices of half a millisecond. Each node updates about once a
-second, with jitter, so that the nodes do not update at the same_zone time.
+second, with jitter, so that the nodes do not update at the same time.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 UPDATE_INTERVAL_S = 1.0  # mean time between two updates
 # The time between two updates lies between 0.75 and 1.25 times the mean.
 JITTER_BASE_RATIO, JITTER_SPAN_RATIO = 0.75, 0.5
-SLICE_US = 500  # processor time of one slice of a computation
+SLICE_US = 500  # elapsed time after which a slice of a computation ends
 SLICE_PAUSE_S = 0.002  # pause between two slices
 REST_RATIO = 100  # pause between two computations, as a multiple of the time that the last one took
 # The least size is reduced once the required one is below this fraction of it.
@@ -82,7 +82,8 @@
         self.inputs: ComputationInputs | None = None  # inputs of the last computation
         self.computation: Iterator[dict[int, float] | None] | None = None
         self.last_computation_us = self.spent_us = 0
-        self.rest_until = 0  # earliest start of the next computation, in monotonic us
+        # Earliest start of the next computation, by the node's clock (`Node.now`) in microseconds.
+        self.rest_until = 0
         self.weights: dict[int, float] | None = None
         self.timer = node.loop.call_later(
             UPDATE_INTERVAL_S * self.random.random(), self._on_timer
