--- a/loadbalancer/forecast/cache_model.py
+++ b/loadbalancer/forecast/cache_model.py
@@ -1,4 +1,7 @@
-"""Models a server's cache: how many objects it holds, and how a time to live reduces its hits."""
+"""Models a server's cache: how many objects it holds, and how a time to live reduces its hits.
+
+`server_keys` explains and computes the characteristic time of a cache.
+"""
 
 from __future__ import annotations
 
@@ -82,8 +85,8 @@
 
     Args:
         rate: Requests a second for the key.
-        characteristic_time_s: Characteristic time of the cache; may be infinite.
-        ttl_s: The time to live.
+        characteristic_time_s: Characteristic time of the cache in seconds; may be infinite.
+        ttl_s: The time to live in seconds.
     """
     if rate <= 0:
         return 1.0
