--- a/loadbalancer/forecast/forecast_result.py
+++ b/loadbalancer/forecast/forecast_result.py
@@ -60,7 +60,7 @@
         hit_ratios: Hit ratios after the change, one for each of those times.
         hit_ratio_now: Hit ratio before the change.
         steady_hit_ratio: Hit ratio long after the change.
-        margin: Half the width of the interval about each hit ratio.
+        margin: Half the width of the interval about each hit ratio that allows for the forecast's error.
         recovery_s: Seconds until the hit ratio has recovered nearly all of its loss.
         peak_load: Largest ratio, over all servers, of a server's misses a second to those that it tolerates;
             0 if these limits are not known.
