--- a/loadbalancer/forecast/popularity.py
+++ b/loadbalancer/forecast/popularity.py
@@ -2,8 +2,8 @@
 
 The most requested keys are known individually; the rates of the others are fitted to the sample
 (`rate_mixture`). The total of requests that the sample implies is corrected by the real total, which is
-known exactly. SHARDS-adj does the same; here the regression estimator of survey sampling takes the place of
-its addition to the first bucket.
+known exactly. SHARDS-adj, a variant of the sampling in `key_sample`, does the same; here the regression
+estimator of survey sampling takes the place of its addition to the first bucket.
 """
 
 from __future__ import annotations
