--- a/loadbalancer/forecast/server_keys.py
+++ b/loadbalancer/forecast/server_keys.py
@@ -150,7 +150,7 @@
 
         Args:
             elapsed_s: Seconds since the change.
-            window_s: The cache's characteristic time.
+            window_s: The cache's characteristic time in seconds.
             factors: Fraction of the hits that remains with a time to live, by group (`ttl_hit_factor`); None
                 if objects do not expire.
         """
