--- a/loadbalancer/forecast/server_model.py
+++ b/loadbalancer/forecast/server_model.py
@@ -232,7 +232,7 @@
     """Hit factors of a time to live (`ttl_hit_factor`), by group of keys, before and after the change.
 
     Attributes:
-        ttl_s: The time to live.
+        ttl_s: The time to live in seconds.
         old: Factors before the change.
         new: Factors long after the change.
     """
